--- a/measurements/_processes.py
+++ b/measurements/_processes.py
@@ -4,7 +4,7 @@
 import signal
 import sys
 from asyncio.subprocess import Process
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from pathlib import Path
 
 from cranberrywall.demo import FleetFiles, wait_until_ready
@@ -17,8 +17,10 @@
 class FleetProcesses:
     """Hold the processes of one fleet by host name; their logs are in the fleet's folder."""
 
-    def __init__(self, files: FleetFiles) -> None:
+    def __init__(self, files: FleetFiles, root_by_host: Mapping[str, Path] | None = None) -> None:
+        """``root_by_host`` names the checkouts of hosts that run another build than this one."""
         self._files = files
+        self._root_by_host = root_by_host if root_by_host is not None else {}
         self._process_by_host: dict[str, Process] = {}
 
     async def start(self, hosts: Sequence[str]) -> None:
@@ -78,7 +80,7 @@
                 "--settings",
                 str(described.path),
                 stderr=log,
-                cwd=ROOT,
+                cwd=self._root_by_host.get(host, ROOT),
             )
 
     def _log_path(self, host: str) -> Path:
--- a/standins/_platform.py
+++ b/standins/_platform.py
@@ -247,6 +247,8 @@
             for number in range(1, fronts + 1)
         ]
         self._process_by_name: dict[str, asyncio.subprocess.Process] = {}
+        # Checkouts of machines that run another build than the caller's.
+        self.root_by_name: dict[str, Path] = {}
         self.workers: list[Worker] = []
         self._beating: dict[str, asyncio.Task[None]] = {}
         self._session: aiohttp.ClientSession | None = None
@@ -267,7 +269,11 @@
         log = (self._folder / f"{machine.name}.log").open("ab")
         command = [sys.executable, "-m", f"cranberrywall.platform.{machine.module}"]
         self._process_by_name[machine.name] = await asyncio.create_subprocess_exec(
-            *command, env=environment, stdout=log, stderr=log
+            *command,
+            env=environment,
+            stdout=log,
+            stderr=log,
+            cwd=self.root_by_name.get(machine.name),
         )
         log.close()
 
