--- a/cranberrywall/budgets/__init__.py
+++ b/cranberrywall/budgets/__init__.py
@@ -10,9 +10,9 @@
 from cranberrywall.budgets._client import LedgerClient, make_ledger_client
 from cranberrywall.budgets._interfaces import (
     Allotments,
+    BudgetAssignment,
     EntryHost,
     HostAllotments,
-    KnownBudget,
     PeerHost,
     Peers,
     Policies,
@@ -22,7 +22,7 @@
 )
 from cranberrywall.budgets._ledger_ids import IdLimits
 from cranberrywall.budgets._ledger_machine import LedgerMachine, LedgerSummary, make_ledger_machine
-from cranberrywall.budgets._totals import CreditRaiser
+from cranberrywall.budgets._totals import CreditUpdater
 from cranberrywall.budgets.messages import LEDGER_CODEC, BudgetTotal
 
 __all__ = [
@@ -30,10 +30,10 @@
     "Allotments",
     "BoundFigures",
     "BudgetTotal",
-    "CreditRaiser",
+    "CreditUpdater",
     "EntryHost",
     "HostAllotments",
-    "KnownBudget",
+    "BudgetAssignment",
     "IdLimits",
     "InputBounds",
     "InputSize",
--- a/cranberrywall/budgets/_allotment.py
+++ b/cranberrywall/budgets/_allotment.py
@@ -12,11 +12,11 @@
 from cranberrywall.budgets._demand import Demand
 from cranberrywall.budgets._interfaces import SpendPolicy
 from cranberrywall.budgets._sizing import LedgerView
-from cranberrywall.budgets._unseen import Unseen
+from cranberrywall.budgets._unreported_spend import UnreportedSpend
 from cranberrywall.budgets.messages import Draw, Return
 
 
-class Scarce(Protocol):
+class ReservationQueue(Protocol):
     """Wait in line for an allotment that is short."""
 
     def serve(self) -> None:
@@ -105,11 +105,11 @@
         self.settled_since_review = 0
         self.settled_bounds = 0
         self.settled_count = 0
-        self.scarce: Scarce | None = None
+        self.scarce: ReservationQueue | None = None
         self.used_at = now
         self.used_since_view = False
         self.transfers_under_way = 0
-        self.unseen = Unseen()
+        self.unseen = UnreportedSpend()
         self.checked_until = float("-inf")
         self.version = 0
         self.on_low: Callable[[], None] | None = None
@@ -130,7 +130,7 @@
         if queue.in_reach:
             return self.spendable + freed
         self.unseen.renew(queue.reach)
-        left = self.unseen.left(self._held, queue.reach.unseen_share(later_s))
+        left = self.unseen.left(self._held, queue.reach.unreported_share(later_s))
         # Charges that wait to be kept, and what is reserved, will need their part of it.
         return left - (self.charging - self.unseen.kept) - self.reserved + freed
 
@@ -158,7 +158,7 @@
         reach = self.queue.reach
         self.unseen.renew(reach)
         # The amount is charged or taken out already, and was the host's own until then.
-        return amount <= self.unseen.left(self._held + amount, reach.unseen_share())
+        return amount <= self.unseen.left(self._held + amount, reach.unreported_share())
 
     def got_unseen(self, amount: int, asked_clock: float) -> None:
         """Count what a peer gave and the ledger has not got, asked for at ``asked_clock``.
@@ -314,7 +314,7 @@
             return False
         return self.queue.in_reach and self.queue.uncommitted == 0
 
-    def heard(self, view: LedgerView) -> None:
+    def update_view(self, view: LedgerView) -> None:
         """Note the ledger's sums, and what all hosts spent since the last ones."""
         last = self.view
         if last is not None and view.charged >= last.charged:
--- a/cranberrywall/budgets/_allotments.py
+++ b/cranberrywall/budgets/_allotments.py
@@ -9,6 +9,7 @@
 from result import Err, Ok, Result
 
 from cranberrywall.budgets._allotment import Allotment, Numbers
+from cranberrywall.budgets._charge_replication import Kept
 from cranberrywall.budgets._charges import ChargeQueue
 from cranberrywall.budgets._client import LedgerClient
 from cranberrywall.budgets._interfaces import (
@@ -20,10 +21,7 @@
     ReserveRequest,
 )
 from cranberrywall.budgets._journal import Journal, Recovered
-from cranberrywall.budgets._keepers import Kept
-from cranberrywall.budgets._ledger_steps import LedgerSteps
-from cranberrywall.budgets._mirror import CHOOSE_EVERY_S, Emptied, Mirror, deliver_at_mirrors
-from cranberrywall.budgets._mirror_store import MirrorStore
+from cranberrywall.budgets._ledger_commands import LedgerCommands
 from cranberrywall.budgets._peer_messages import (
     DELIVER,
     FORGET,
@@ -34,12 +32,19 @@
     TakeReply,
     TakeRequest,
 )
+from cranberrywall.budgets._peer_replication import (
+    CHOOSE_EVERY_S,
+    Emptied,
+    Mirror,
+    deliver_at_mirrors,
+)
 from cranberrywall.budgets._recovery import checkpoint_of, hand_over, resume
 from cranberrywall.budgets._registration import Registration, of_group
+from cranberrywall.budgets._replica_store import MirrorStore
 from cranberrywall.budgets._reservation import HeldReservation
 from cranberrywall.budgets._review import REVIEW_INTERVAL_S, Reviewer
-from cranberrywall.budgets._scarcity import Shortage, Tools
-from cranberrywall.budgets._transfers import Giver, Taker
+from cranberrywall.budgets._shortfalls import FundingSources, ShortfallQueue
+from cranberrywall.budgets._transfers import TransferDonor, TransferRecipient
 from cranberrywall.budgets.messages import Holder, Transfer
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.links import Caller, Peer, Server
@@ -130,14 +135,14 @@
         self._clock = runtime.clock
         self._by_budget: dict[str, Allotment] = {}
         self._numbers_by_budget: dict[str, Numbers] = {}
-        self._shortage_by_budget: dict[str, Shortage] = {}
+        self._shortfall_queue_by_budget: dict[str, ShortfallQueue] = {}
         self._queue_by_group = {group: self._make_queue(group) for group in ledger.groups()}
-        self._steps = LedgerSteps(ledger, self._clock)
+        self._steps = LedgerCommands(ledger, self._clock)
         self._store = MirrorStore(
             holder, ledger, keeper if isinstance(keeper, Journal) else None, self._clock
         )
-        self._giver = Giver(ledger, keeper, self._clock)
-        taker = Taker(caller, keeper, self._store.is_ended, self._clock, runtime.random)
+        self._giver = TransferDonor(ledger, keeper, self._clock)
+        taker = TransferRecipient(caller, keeper, self._store.is_ended, self._clock, runtime.random)
         self._reviewer = Reviewer(
             holder.host,
             place,
@@ -150,7 +155,7 @@
             lambda: len(self._by_budget),
             self._clock,
         )
-        self._tools = Tools(
+        self._tools = FundingSources(
             holder.host,
             place,
             ledger,
@@ -233,7 +238,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._reviewer.stop()
-        for shortage in self._shortage_by_budget.values():
+        for shortage in self._shortfall_queue_by_budget.values():
             shortage.stop()
         for queue in self._queue_by_group.values():
             await queue.stop()
@@ -261,7 +266,7 @@
         return {
             "groups": {queue.group: queue.state() for queue in queues},
             "budgets": len(self._by_budget),
-            "waiting": sorted(self._shortage_by_budget),
+            "waiting": sorted(self._shortfall_queue_by_budget),
             "largest": {allotment.budget: allotment.state() for allotment in largest},
         }
 
@@ -273,7 +278,7 @@
         metrics.gauge_of(
             "budgets_short",
             "Budgets for which requests wait here.",
-            lambda: len(self._shortage_by_budget),
+            lambda: len(self._shortfall_queue_by_budget),
         )
         metrics.gauge_of(
             "charges_waiting",
@@ -302,12 +307,12 @@
         count = sum(one.settled_count for one in allotments)
         return sum(one.settled_bounds for one in allotments) / count if count else 0.0
 
-    def _shortage(self, allotment: Allotment) -> Shortage:
-        shortage = self._shortage_by_budget.get(allotment.budget)
+    def _shortage(self, allotment: Allotment) -> ShortfallQueue:
+        shortage = self._shortfall_queue_by_budget.get(allotment.budget)
         if shortage is None:
-            over = partial(self._shortage_by_budget.pop, allotment.budget, None)
-            shortage = Shortage(allotment, self._tools, over)
-            self._shortage_by_budget[allotment.budget] = shortage
+            over = partial(self._shortfall_queue_by_budget.pop, allotment.budget, None)
+            shortage = ShortfallQueue(allotment, self._tools, over)
+            self._shortfall_queue_by_budget[allotment.budget] = shortage
         return shortage
 
     def _resume(self, recovered: Recovered) -> None:
@@ -347,7 +352,7 @@
         await self._keeper.out_of_reach(checkpoint, queue.unreported)
 
     async def _delivered_elsewhere(self, keepers: Sequence[str]) -> Emptied | None:
-        if self._policies.spends_alone():
+        if self._policies.allows_isolated_spend():
             # An earlier run may have spent alone, and taken what it knew of that with it.
             return None
         host, incarnation = self._holder
@@ -389,7 +394,7 @@
         """Draw of totals that were raised: a cut may come before the next review."""
         while True:
             await self._clock.sleep(TOTALS_EVERY_S)
-            for budget, _, total in self._policies.known_budgets():
+            for budget, _, total in self._policies.budget_assignments():
                 allotment = self._by_budget.get(budget)
                 view = allotment.view if allotment is not None else None
                 if allotment is not None and view is not None and view.credited < total:
@@ -411,7 +416,7 @@
         now = self._clock.now()
         # Cut off before its first request of a budget, a host would have nothing to serve
         # it from, and nor would its peers.
-        for budget, workspace, _ in self._policies.known_budgets():
+        for budget, workspace, _ in self._policies.budget_assignments():
             self._allotment(budget, workspace)
         await self._store.help(now)
         for allotment in list(self._by_budget.values()):
@@ -428,4 +433,4 @@
         # would pass for old ones that arrive twice, and never be billed.
         self._numbers_by_budget[allotment.budget] = allotment.numbers()
         del self._by_budget[allotment.budget]
-        self._shortage_by_budget.pop(allotment.budget, None)
+        self._shortfall_queue_by_budget.pop(allotment.budget, None)
--- a/cranberrywall/budgets/_bounds.py
+++ b/cranberrywall/budgets/_bounds.py
@@ -43,7 +43,7 @@
         """Return the most input tokens to reserve for; ``margin`` is at least 1."""
         ...
 
-    def learn(self, model: str, size: InputSize, bound: int, actual: int) -> None:
+    def record_usage(self, model: str, size: InputSize, bound: int, actual: int) -> None:
         """Note what a target counted for an input that was bounded by ``bound``."""
         ...
 
@@ -82,7 +82,7 @@
         estimate = math.ceil(size.text_bytes * learned.ratio * margin)
         return min(safe, estimate + FRAMING_TOKENS * size.messages)
 
-    def learn(self, model: str, size: InputSize, bound: int, actual: int) -> None:
+    def record_usage(self, model: str, size: InputSize, bound: int, actual: int) -> None:
         learned = self._by_model.setdefault(model, _Learned())
         learned.samples += 1
         learned.since_proof_began += 1
--- a/cranberrywall/budgets/_keepers.py
+++ b/cranberrywall/budgets/_charge_replication.py
@@ -39,7 +39,7 @@
 """Say of a host by its name whether something may be kept there."""
 
 
-class Keeper(Protocol):
+class ChargeReplicator(Protocol):
     """Make charges and transfers durable without the ledger."""
 
     def choose(self, now: float) -> Collection[Holder] | None:
--- a/cranberrywall/budgets/_charges.py
+++ b/cranberrywall/budgets/_charges.py
@@ -7,11 +7,11 @@
 
 from result import Err, Ok, Result
 
+from cranberrywall.budgets._charge_replication import ChargeReplicator, Kept, out_of_reach
 from cranberrywall.budgets._client import LedgerClient
-from cranberrywall.budgets._corrections import OpenCharges
+from cranberrywall.budgets._corrections import CorrectionQueue
 from cranberrywall.budgets._interfaces import SpendPolicy
-from cranberrywall.budgets._keepers import Keeper, Kept, out_of_reach
-from cranberrywall.budgets._pending import Charged, Pending, note_outcome
+from cranberrywall.budgets._pending import ChargedAllotment, PendingCharge, note_outcome
 from cranberrywall.budgets._reach import Reach
 from cranberrywall.budgets._transfer_reports import TransferReports
 from cranberrywall.budgets.messages import (
@@ -57,7 +57,7 @@
         group: str,
         holder: Holder,
         ledger: LedgerClient,
-        keeper: Keeper,
+        keeper: ChargeReplicator,
         clock: Clock,
         is_bounded: bool = False,
     ) -> None:
@@ -67,20 +67,20 @@
         """
         self._commit_timeout_s = QUICK_COMMIT_TIMEOUT_S if is_bounded else COMMIT_TIMEOUT_S
         self.reach = Reach(group, keeper, clock, is_bounded)
-        self._open_charges = OpenCharges()
+        self._open_charges = CorrectionQueue()
         self.group = group
         self.holder = holder
         self.durable = True
         self.on_reach: Callable[[bool], Awaitable[None]] | None = None
         self.successor: Holder | None = None
-        self.on_succeed: Callable[[], Sequence[tuple[Transfer, Charged]]] | None = None
+        self.on_succeed: Callable[[], Sequence[tuple[Transfer, ChargedAllotment]]] | None = None
         self._ledger = ledger
         self._keeper = keeper
         self._clock = clock
-        self._waiting: deque[Pending] = deque()
-        self._under_way: list[Pending] = []
+        self._waiting: deque[PendingCharge] = deque()
+        self._under_way: list[PendingCharge] = []
         self._sends_kept = False
-        self._kept: deque[Pending] = deque()
+        self._kept: deque[PendingCharge] = deque()
         self._transfers = TransferReports(group, ledger, keeper, clock, self._commit_timeout_s)
         self._to_commit = asyncio.Event()
         self._to_keep = asyncio.Event()
@@ -135,22 +135,22 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._tasks = []
 
-    async def add(self, charge: Charge, allotment: Charged) -> Result[None, Refusal]:
+    async def add(self, charge: Charge, allotment: ChargedAllotment) -> Result[None, Refusal]:
         """Queue a charge and return once it is durable."""
         done: asyncio.Future[Result[None, Refusal]] = asyncio.get_running_loop().create_future()
-        self._waiting.append(Pending(charge, allotment, done))
+        self._waiting.append(PendingCharge(charge, allotment, done))
         if len(self._waiting) == 1:
             self._work_came()
             if not self.in_reach:
                 self._to_keep.set()
         return await done
 
-    def correct(self, charge: Charge, amount: int, allotment: Charged) -> None:
+    def correct(self, charge: Charge, amount: int, allotment: ChargedAllotment) -> None:
         """Queue what an open charge, which is durable, came to in the end."""
         self._open_charges.correct(self.holder, charge, amount, allotment)
         self._work_came()
 
-    def report(self, transfer: Transfer, taken_by: Charged | None) -> None:
+    def report(self, transfer: Transfer, taken_by: ChargedAllotment | None) -> None:
         """Queue the report of a transfer, before every charge that is not committed yet.
 
         ``taken_by`` is the allotment that took it; the giver's report has none.
@@ -168,9 +168,9 @@
         self.reach.lose()
         self._work_came()
 
-    def adopt(self, charge: Charge, allotment: Charged) -> None:
+    def adopt(self, charge: Charge, allotment: ChargedAllotment) -> None:
         """Queue a charge that is already kept, as after a restart."""
-        self._kept.append(Pending(charge, allotment, None))
+        self._kept.append(PendingCharge(charge, allotment, None))
         self._work_came()
 
     async def lost(self, refusal: Refusal) -> None:
@@ -249,7 +249,7 @@
         command = Corrections(holder, corrections, self._clock.wall(), contact)
         answer = await self._ledger.correct(self.group, command, self._commit_timeout_s)
         if isinstance(answer, Ok):
-            self.reach.note_answered(contact)
+            self.reach.record_answer(contact)
         return answer
 
     async def keep_in_contact(self, every_s: float) -> None:
@@ -339,14 +339,14 @@
         if batch:
             await self._finish(batch, answer.ok_value)
 
-    async def _commit_or_ask(self, batch: Sequence[Pending]) -> Result[Any, Refusal]:
+    async def _commit_or_ask(self, batch: Sequence[PendingCharge]) -> Result[Any, Refusal]:
         if batch:
             return await self._commit(batch)
         return await self._ledger.recalls(
             self.group, RecallsQuery(self.holder), self._commit_timeout_s
         )
 
-    async def _commit(self, batch: Sequence[Pending]) -> Result[Any, Refusal]:
+    async def _commit(self, batch: Sequence[PendingCharge]) -> Result[Any, Refusal]:
         if not batch:
             return Ok(ChargeBatchResult(()))
         charges = tuple(pending.charge for pending in batch)
@@ -354,10 +354,10 @@
         command = ChargeBatch(self.holder, charges, self._clock.wall(), contact)
         answer = await self._ledger.charge(command, self._commit_timeout_s)
         if isinstance(answer, Ok):
-            self.reach.note_answered(contact)
+            self.reach.record_answer(contact)
         return answer
 
-    def _take_funded(self, source: deque[Pending]) -> list[Pending]:
+    def _take_funded(self, source: deque[PendingCharge]) -> list[PendingCharge]:
         """Take the first charges that the ledger will find covered.
 
         Money that was given to this host pays for them: while a report of it waits for
@@ -366,22 +366,22 @@
         waiting = self._transfers.unfunded_budgets()
         if not waiting:
             return [source.popleft() for _ in range(min(MAX_CHARGES_IN_BATCH, len(source)))]
-        taken: list[Pending] = []
-        left: deque[Pending] = deque()
+        taken: list[PendingCharge] = []
+        left: deque[PendingCharge] = deque()
         while source and len(taken) < MAX_CHARGES_IN_BATCH:
             pending = source.popleft()
             (left if pending.charge.budget in waiting else taken).append(pending)
         source.extendleft(reversed(left))
         return taken
 
-    async def _finish(self, batch: Sequence[Pending], answer: ChargeBatchResult) -> None:
+    async def _finish(self, batch: Sequence[PendingCharge], answer: ChargeBatchResult) -> None:
         if not batch:
             return
         for pending, outcome in zip(batch, answer.outcomes, strict=True):
             pending.allotment.committed(pending.charge.amount)
             if outcome is not ChargeOutcome.BILLED:
                 note_outcome(pending, outcome)
-                self._open_charges.note_unbilled(pending.charge)
+                self._open_charges.record_unbilled(pending.charge)
             pending.answer(Ok(None))
         charges = tuple(pending.charge for pending in batch)
         await self._keeper.committed(Kept(self.holder, (), charges))
@@ -397,9 +397,9 @@
                 else:
                     await self._clock.sleep(KEEP_POLL_S)
 
-    def _take_allowed(self) -> list[Pending]:
+    def _take_allowed(self) -> list[PendingCharge]:
         """Take out the charges that may be kept now, and count them to their budgets' bounds."""
-        taken: list[Pending] = []
+        taken: list[PendingCharge] = []
         # In place: a commit that began before holds this deque, and would send what is kept.
         for _ in range(len(self._waiting)):
             pending = self._waiting.popleft()
@@ -407,7 +407,7 @@
             (taken if is_allowed else self._waiting).append(pending)
         return taken
 
-    async def _keep_batch(self, batch: list[Pending]) -> None:
+    async def _keep_batch(self, batch: list[PendingCharge]) -> None:
         """Make charges durable here, and hold them until the ledger takes them."""
         charges = tuple(pending.charge for pending in batch)
         self._kept.extend(batch)
--- a/cranberrywall/budgets/_corrections.py
+++ b/cranberrywall/budgets/_corrections.py
@@ -5,7 +5,7 @@
 from itertools import islice
 from typing import NamedTuple
 
-from cranberrywall.budgets._pending import Charged, Pending
+from cranberrywall.budgets._pending import ChargedAllotment, PendingCharge
 from cranberrywall.budgets.messages import MAX_CHARGES_IN_BATCH, Charge, Correction, Holder
 
 
@@ -15,7 +15,7 @@
     holder: Holder
     correction: Correction
     surplus: int
-    allotment: Charged
+    allotment: ChargedAllotment
 
     @property
     def key(self) -> tuple[str, int]:
@@ -23,7 +23,7 @@
         return self.correction.budget, self.correction.number
 
 
-class OpenCharges:
+class CorrectionQueue:
     """Hold the corrections that the ledger has not confirmed, in their order."""
 
     def __init__(self) -> None:
@@ -34,17 +34,19 @@
         """Return the number of corrections that wait."""
         return len(self._corrections)
 
-    def correct(self, holder: Holder, charge: Charge, amount: int, allotment: Charged) -> None:
+    def correct(
+        self, holder: Holder, charge: Charge, amount: int, allotment: ChargedAllotment
+    ) -> None:
         """Queue what a charge, which is durable, came to in the end."""
         correction = Correction(charge.budget, charge.number, amount)
         self._corrections.append(Correcting(holder, correction, charge.amount - amount, allotment))
 
-    def note_unbilled(self, charge: Charge) -> None:
+    def record_unbilled(self, charge: Charge) -> None:
         """Note that the ledger has no such charge, or set it aside: it will give nothing back."""
         if charge.is_open:
             self._unbilled.add((charge.budget, charge.number))
 
-    def take(self, waiting: Iterable[Pending]) -> list[Correcting]:
+    def take(self, waiting: Iterable[PendingCharge]) -> list[Correcting]:
         """Return corrections of one holder whose charges the ledger has; they stay queued.
 
         A caller may leave while its charge waits. Were the correction to go first, it would
--- a/cranberrywall/budgets/_interfaces.py
+++ b/cranberrywall/budgets/_interfaces.py
@@ -111,7 +111,7 @@
     isolated: Literal["refuse", "spend"] = "refuse"
 
 
-class KnownBudget(NamedTuple):
+class BudgetAssignment(NamedTuple):
     """Name a budget, and a workspace that spends it.
 
     ``total`` is what the configuration says is credited in all; 0 where it does not say.
@@ -129,11 +129,11 @@
         """Return the workspace's policy; the default one where it names none."""
         ...
 
-    def known_budgets(self) -> Sequence[KnownBudget]:
+    def budget_assignments(self) -> Sequence[BudgetAssignment]:
         """Return the budgets of which each host should hold a share before it is asked for."""
         ...
 
-    def spends_alone(self) -> bool:
+    def allows_isolated_spend(self) -> bool:
         """Say whether any workspace's policy lets a host spend that is alone."""
         ...
 
--- a/cranberrywall/budgets/_journal.py
+++ b/cranberrywall/budgets/_journal.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from cranberrywall.budgets._allotment import Numbers
-from cranberrywall.budgets._keepers import Allows, Kept
+from cranberrywall.budgets._charge_replication import Allows, Kept
 from cranberrywall.budgets.messages import Charge, Holder, Transfer
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.links import MalformedMessageError, MessageCodec
--- a/cranberrywall/budgets/_ledger_steps.py
+++ b/cranberrywall/budgets/_ledger_commands.py
@@ -3,17 +3,17 @@
 from result import Err, Ok, Result
 
 from cranberrywall.budgets._allotment import Allotment
+from cranberrywall.budgets._charge_replication import out_of_reach
 from cranberrywall.budgets._client import LedgerClient
-from cranberrywall.budgets._keepers import out_of_reach
 from cranberrywall.budgets._sizing import view_of
 from cranberrywall.budgets.messages import Draw, DrawResult, Return
 from cranberrywall.errors import Refusal
 from cranberrywall.runtime import Clock
 
-STEP_TIMEOUT_S = 1.0
+COMMAND_TIMEOUT_S = 1.0
 
 
-class LedgerSteps:
+class LedgerCommands:
     """Take the numbered steps of this host's holders.
 
     A step whose answer was lost may have been applied. It is sent again, unchanged and
@@ -30,7 +30,7 @@
         self, allotment: Allotment, amount: int, minimum: int
     ) -> Result[DrawResult, Refusal]:
         """Draw ``amount``, or at least ``minimum``; the grant is added to the allotment."""
-        finished = await self.finish(allotment)
+        finished = await self.resend_pending(allotment)
         if isinstance(finished, Err):
             return Err(finished.err_value)
         draw = Draw(
@@ -43,7 +43,7 @@
         )
         return await self._send_draw(allotment, draw)
 
-    async def finish(self, allotment: Allotment) -> Result[None, Refusal]:
+    async def resend_pending(self, allotment: Allotment) -> Result[None, Refusal]:
         """Send again what was not answered; until then its money is of use to nobody."""
         if allotment.pending_return is not None:
             returned = await self._send_return(allotment, allotment.pending_return)
@@ -61,9 +61,9 @@
         draw = draw._replace(contact=contact)
         allotment.pending_draw = draw
         self.sent += 1
-        answer = await self._ledger.draw(draw, STEP_TIMEOUT_S)
+        answer = await self._ledger.draw(draw, COMMAND_TIMEOUT_S)
         if isinstance(answer, Ok):
-            allotment.queue.reach.note_answered(contact)
+            allotment.queue.reach.record_answer(contact)
         if allotment.pending_draw is not draw:
             # Another task sent it as well and got the same answer: it is counted once.
             return answer
@@ -75,12 +75,12 @@
         allotment.pending_draw = None
         allotment.next_draw = draw.number + 1
         allotment.granted(result.granted)
-        allotment.heard(view_of(result, self._clock.now()))
+        allotment.update_view(view_of(result, self._clock.now()))
         return answer
 
     async def give_back(self, allotment: Allotment, amount: int) -> Result[int, Refusal]:
         """Return up to ``amount`` of what is spendable; gives what was returned."""
-        finished = await self.finish(allotment)
+        finished = await self.resend_pending(allotment)
         if isinstance(finished, Err):
             return Err(finished.err_value)
         taken = allotment.take(amount)
@@ -101,7 +101,7 @@
         # spendable, a return whose answer is lost would be spent here and elsewhere.
         allotment.pending_return = step
         self.sent += 1
-        answer = await self._ledger.give_back(step, STEP_TIMEOUT_S)
+        answer = await self._ledger.give_back(step, COMMAND_TIMEOUT_S)
         if allotment.pending_return is not step:
             return answer.map(lambda _: None)
         if isinstance(answer, Err):
--- a/cranberrywall/budgets/_ledger_holders.py
+++ b/cranberrywall/budgets/_ledger_holders.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from cranberrywall.budgets._ledger_silence import Heard, Silences
-from cranberrywall.budgets._messages_holders import unseen_share
+from cranberrywall.budgets._ledger_contact_gaps import Heard, Silences
+from cranberrywall.budgets._messages_holders import unreported_share
 from cranberrywall.budgets.messages import Contact, Evidence, Holder
 from cranberrywall.observability import log_event
 
@@ -147,7 +147,7 @@
         if silent_s is None:
             return None
         self._contact_by_holder[older] = record._replace(is_reduced=True)
-        share = unseen_share(silent_s)
+        share = unreported_share(silent_s)
         log_event(
             "INFO",
             "lost_run_bounded",
--- a/cranberrywall/budgets/_ledger_intents.py
+++ b/cranberrywall/budgets/_ledger_intents.py
@@ -80,7 +80,7 @@
         is_late = command.attempt_id in known.former_attempts
         return known.state is IntentState.NOT_RUN and not is_late
 
-    def finish(self, command: RecordOutcome) -> IntentResult | Rejected:
+    def resend_pending(self, command: RecordOutcome) -> IntentResult | Rejected:
         """Record an outcome; a final one does not change."""
         request = (command.workspace, command.request_id)
         known = self._intent_by_request.get(request)
--- a/cranberrywall/budgets/_ledger_machine.py
+++ b/cranberrywall/budgets/_ledger_machine.py
@@ -6,7 +6,7 @@
 
 from cranberrywall.budgets import _closing as closing
 from cranberrywall.budgets import _ledger_charges as charges
-from cranberrywall.budgets import _ledger_holding as holding
+from cranberrywall.budgets import _ledger_movements as holding
 from cranberrywall.budgets import messages
 from cranberrywall.budgets._closing_calendar import MAX_TIME
 from cranberrywall.budgets._ledger_accounts import Account
@@ -69,7 +69,7 @@
             messages.Transfer: holding.transfer,
             messages.TransferBatch: holding.transfer_batch,
             messages.RecordIntent: lambda state, command: state.intents.record(command),
-            messages.RecordOutcome: lambda state, command: state.intents.finish(command),
+            messages.RecordOutcome: lambda state, command: state.intents.resend_pending(command),
             messages.PlanPeriods: closing.plan_periods,
             messages.ClosePeriod: closing.close_period,
             messages.ResolveDoubt: charges.resolve_doubt,
--- a/cranberrywall/budgets/_messages_holders.py
+++ b/cranberrywall/budgets/_messages_holders.py
@@ -16,7 +16,7 @@
 Without it, all requests of a cut's first moments would wait. Where all hosts are lost together,
 this much of their parts stays booked to them at least."""
 
-UNSEEN_ALL_AFTER_S = 8.0
+FULL_UNREPORTED_DELAY_S = 8.0
 """A holder that was silent for so long may have spent all that it has, in seconds.
 
 A cut of some seconds is served at an even rate by it: in cuts of 7 to 9 s workspaces used 25 to 35
@@ -24,16 +24,16 @@
 once. A bound that rises at half that rate for three seconds, and faster then, serves no better."""
 
 
-def unseen_share(silent_s: float) -> float:
+def unreported_share(silent_s: float) -> float:
     """Return the share of its part that a holder may have spent out of the ledger's sight.
 
     ``silent_s`` is how long ago it last said what it had spent so. Both sides go by this:
     the holder spends no more, and the ledger frees no more of a holder that is lost.
 
-    >>> unseen_share(0.0), unseen_share(2.0), unseen_share(60.0)
+    >>> unreported_share(0.0), unreported_share(2.0), unreported_share(60.0)
     (0.05, 0.3, 1.0)
     """
-    return min(1.0, UNSEEN_AT_ONCE + max(0.0, silent_s) / UNSEEN_ALL_AFTER_S)
+    return min(1.0, UNSEEN_AT_ONCE + max(0.0, silent_s) / FULL_UNREPORTED_DELAY_S)
 
 
 class Contact(NamedTuple):
--- a/cranberrywall/budgets/_mirror.py
+++ b/cranberrywall/budgets/_peer_replication.py
@@ -10,8 +10,8 @@
 
 from result import Err, Ok, Result
 
+from cranberrywall.budgets._charge_replication import Allows, Kept
 from cranberrywall.budgets._interfaces import EntryHost, PeerHost, Peers
-from cranberrywall.budgets._keepers import Allows, Kept
 from cranberrywall.budgets._peer_messages import (
     DELIVER,
     FORGET,
--- a/cranberrywall/budgets/_pending.py
+++ b/cranberrywall/budgets/_pending.py
@@ -10,7 +10,7 @@
 from cranberrywall.observability import log_event
 
 
-class Charged(Protocol):
+class ChargedAllotment(Protocol):
     """Hold the money that charges are made against."""
 
     def try_keep_unseen(self, amount: int) -> bool:
@@ -38,9 +38,9 @@
         ...
 
 
-class Pending(NamedTuple):
+class PendingCharge(NamedTuple):
     charge: Charge
-    allotment: Charged
+    allotment: ChargedAllotment
     done: "asyncio.Future[Result[None, Refusal]] | None"
 
     def answer(self, result: Result[None, Refusal]) -> None:
@@ -49,7 +49,7 @@
             self.done.set_result(result)
 
 
-def note_outcome(pending: Pending, outcome: ChargeOutcome) -> None:
+def note_outcome(pending: PendingCharge, outcome: ChargeOutcome) -> None:
     """Log a charge that the ledger did not bill, and free what it left in the allotment."""
     charge = pending.charge
     if outcome is ChargeOutcome.DUPLICATE:
--- a/cranberrywall/budgets/_reach.py
+++ b/cranberrywall/budgets/_reach.py
@@ -3,8 +3,8 @@
 from collections.abc import Mapping
 
 from cranberrywall.budgets._announced import AnnouncedKeepers
-from cranberrywall.budgets._keepers import Keeper
-from cranberrywall.budgets._messages_holders import unseen_share
+from cranberrywall.budgets._charge_replication import ChargeReplicator
+from cranberrywall.budgets._messages_holders import unreported_share
 from cranberrywall.budgets.messages import Contact
 from cranberrywall.observability import log_event
 from cranberrywall.runtime import Clock
@@ -18,7 +18,9 @@
     The ledger goes by one of the two: a command or its answer may be lost.
     """
 
-    def __init__(self, group: str, keeper: Keeper, clock: Clock, is_bounded: bool) -> None:
+    def __init__(
+        self, group: str, keeper: ChargeReplicator, clock: Clock, is_bounded: bool
+    ) -> None:
         """``is_bounded`` where what the host spends unseen may be lost with it."""
         self._group = group
         self.in_reach = True
@@ -31,11 +33,11 @@
         self._keeper = keeper
         self._clock = clock
 
-    def unseen_share(self, later_s: float = 0.0) -> float:
+    def unreported_share(self, later_s: float = 0.0) -> float:
         """Return the share of its part that the holder may spend unseen, ``later_s`` from now."""
         if not self._is_bounded:
             return 1.0
-        return unseen_share(self._clock.now() + later_s - self.told_at)
+        return unreported_share(self._clock.now() + later_s - self.told_at)
 
     def note_unseen(self) -> None:
         """Note that something is spent or given now out of the ledger's sight."""
@@ -80,7 +82,7 @@
         named = None if chosen is None else self._announced.announce(chosen, now)
         return Contact(now, is_detached=False, keepers=named, wall=wall, unseen=kept)
 
-    def note_answered(self, contact: Contact) -> None:
+    def record_answer(self, contact: Contact) -> None:
         """Note that the ledger has answered a command with this contact."""
         if not contact.is_detached and contact.clock > self._last_unseen_at:
             self.heard_at = max(self.heard_at, contact.clock)
--- a/cranberrywall/budgets/_recovery.py
+++ b/cranberrywall/budgets/_recovery.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Sequence
 
 from cranberrywall.budgets._allotment import Allotment, Numbers
+from cranberrywall.budgets._charge_replication import Kept
 from cranberrywall.budgets._charges import ChargeQueue
 from cranberrywall.budgets._journal import Checkpoint, HeldRow
-from cranberrywall.budgets._keepers import Kept
 from cranberrywall.budgets.messages import Charge, Transfer
 
 LOST_ACCEPTS = 64
--- a/cranberrywall/budgets/_registration.py
+++ b/cranberrywall/budgets/_registration.py
@@ -4,10 +4,10 @@
 
 from result import Err, Ok, Result
 
+from cranberrywall.budgets._charge_replication import ChargeReplicator, Kept, out_of_reach
 from cranberrywall.budgets._charges import ChargeQueue
 from cranberrywall.budgets._client import LedgerClient
-from cranberrywall.budgets._keepers import Keeper, Kept, out_of_reach
-from cranberrywall.budgets._mirror import Emptied
+from cranberrywall.budgets._peer_replication import Emptied
 from cranberrywall.budgets.messages import (
     MAX_CHARGES_IN_BATCH,
     ChargeBatch,
@@ -21,7 +21,7 @@
 from cranberrywall.observability import log_event
 from cranberrywall.runtime import Clock
 
-STEP_TIMEOUT_S = 1.0
+COMMAND_TIMEOUT_S = 1.0
 RETRY_FIRST_S = 0.5
 RETRY_MOST_S = 10.0
 
@@ -32,7 +32,7 @@
     def __init__(
         self,
         ledger: LedgerClient,
-        keeper: Keeper,
+        keeper: ChargeReplicator,
         delivered_elsewhere: Callable[[Sequence[str]], Awaitable[Emptied | None]] | None,
         clock: Clock,
         started_clock: float,
@@ -83,11 +83,11 @@
         """Return the ledger's answer; ``None`` where there is none."""
         group, contact = queue.group, queue.contact()
         command = RegisterHolder(holder, True, self._clock.wall(), evidence, contact)
-        answer = await self._ledger.register(group, command, STEP_TIMEOUT_S)
+        answer = await self._ledger.register(group, command, COMMAND_TIMEOUT_S)
         if isinstance(answer, Err):
             log_event("INFO", "register_failed", group=group, kind=answer.err_value.kind)
             return None
-        queue.reach.note_answered(contact)
+        queue.reach.record_answer(contact)
         result = answer.ok_value
         log_event(
             "INFO",
@@ -109,7 +109,7 @@
         for start in range(0, len(kept.charges), MAX_CHARGES_IN_BATCH):
             some = kept.charges[start : start + MAX_CHARGES_IN_BATCH]
             batch = ChargeBatch(kept.holder, some, self._clock.wall())
-            billed = await self._ledger.charge(batch, STEP_TIMEOUT_S)
+            billed = await self._ledger.charge(batch, COMMAND_TIMEOUT_S)
             if isinstance(billed, Err):
                 return Err(billed.err_value)
         await self._keeper.committed(kept)
@@ -119,7 +119,7 @@
         """Report transfers; return those that have to be reported again."""
         left = []
         for transfer in transfers:
-            answer = await self._ledger.transfer(transfer, STEP_TIMEOUT_S)
+            answer = await self._ledger.transfer(transfer, COMMAND_TIMEOUT_S)
             if isinstance(answer, Err) and out_of_reach(answer.err_value):
                 left.append(transfer)
         return left
--- a/cranberrywall/budgets/_mirror_store.py
+++ b/cranberrywall/budgets/_replica_store.py
@@ -4,9 +4,9 @@
 
 from result import Err, Ok, Result
 
+from cranberrywall.budgets._charge_replication import Kept
 from cranberrywall.budgets._client import LedgerClient
 from cranberrywall.budgets._journal import Journal
-from cranberrywall.budgets._keepers import Kept
 from cranberrywall.budgets._peer_messages import (
     DeliverReply,
     DeliverRequest,
--- a/cranberrywall/budgets/_review.py
+++ b/cranberrywall/budgets/_review.py
@@ -7,11 +7,11 @@
 from result import Err, Ok
 
 from cranberrywall.budgets._allotment import Allotment
+from cranberrywall.budgets._charge_replication import out_of_reach
 from cranberrywall.budgets._claims import Claim
 from cranberrywall.budgets._client import LedgerClient
 from cranberrywall.budgets._interfaces import EntryHost, Peers
-from cranberrywall.budgets._keepers import out_of_reach
-from cranberrywall.budgets._ledger_steps import LedgerSteps
+from cranberrywall.budgets._ledger_commands import LedgerCommands
 from cranberrywall.budgets._sizing import (
     HIGH_BAND,
     LOW_BAND,
@@ -21,7 +21,7 @@
     parts_of,
     target,
 )
-from cranberrywall.budgets._transfers import Taker
+from cranberrywall.budgets._transfers import TransferRecipient
 from cranberrywall.budgets.messages import BudgetQuery
 from cranberrywall.observability import log_event
 from cranberrywall.runtime import Clock
@@ -47,8 +47,8 @@
         host: str,
         place: str,
         ledger: LedgerClient,
-        taker: Taker,
-        steps: LedgerSteps,
+        taker: TransferRecipient,
+        steps: LedgerCommands,
         peers: Peers,
         entry_hosts: Callable[[], Sequence[EntryHost]],
         usual_bound: Callable[[], float],
@@ -131,7 +131,7 @@
         allotment.settled_since_review = 0
         if not allotment.queue.in_reach or allotment.scarce is not None:
             return
-        if isinstance(await self._steps.finish(allotment), Err):
+        if isinstance(await self._steps.resend_pending(allotment), Err):
             return
         if now < allotment.checked_until:
             await self._check(allotment)
--- a/cranberrywall/budgets/_scarcity.py
+++ b/cranberrywall/budgets/_shortfalls.py
@@ -12,15 +12,15 @@
 from result import Err, Ok, Result
 
 from cranberrywall.budgets._allotment import Allotment
+from cranberrywall.budgets._charge_replication import out_of_reach
 from cranberrywall.budgets._claims import Claim
 from cranberrywall.budgets._client import LedgerClient
 from cranberrywall.budgets._interfaces import PeerHost, Peers, ReserveRequest
-from cranberrywall.budgets._keepers import out_of_reach
-from cranberrywall.budgets._ledger_steps import STEP_TIMEOUT_S, LedgerSteps
+from cranberrywall.budgets._ledger_commands import COMMAND_TIMEOUT_S, LedgerCommands
 from cranberrywall.budgets._peer_messages import TakeReply
 from cranberrywall.budgets._reservation import HeldReservation
 from cranberrywall.budgets._sizing import homes, view_of
-from cranberrywall.budgets._transfers import Taker
+from cranberrywall.budgets._transfers import TransferRecipient
 from cranberrywall.budgets.messages import BudgetQuery, BudgetResult, HeldAmount
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.observability import log_event
@@ -43,14 +43,14 @@
 Reserved = Result[HeldReservation, Refusal]
 
 
-class Tools(NamedTuple):
+class FundingSources(NamedTuple):
     """Bundle what a search for money uses; one for each host."""
 
     host: str
     place: str
     ledger: LedgerClient
-    steps: LedgerSteps
-    taker: Taker
+    steps: LedgerCommands
+    taker: TransferRecipient
     peers: Peers
     clock: Clock
     wanted: Callable[[Allotment], int]
@@ -78,14 +78,16 @@
     unreached: int
 
 
-class Shortage:
+class ShortfallQueue:
     """Serve the requests in line for one allotment, in rounds of one task.
 
     ``on_over`` is called as a round leaves nobody in line that it could not serve: the
     object need not be kept until the next shortage.
     """
 
-    def __init__(self, allotment: Allotment, tools: Tools, on_over: Callable[[], object]) -> None:
+    def __init__(
+        self, allotment: Allotment, tools: FundingSources, on_over: Callable[[], object]
+    ) -> None:
         self._allotment = allotment
         self._on_over = on_over
         self._tools = tools
@@ -271,9 +273,9 @@
 
     async def _read(self) -> Result[BudgetResult, Refusal]:
         tools = self._tools
-        answer = await tools.ledger.budget(BudgetQuery(self._allotment.budget), STEP_TIMEOUT_S)
+        answer = await tools.ledger.budget(BudgetQuery(self._allotment.budget), COMMAND_TIMEOUT_S)
         if isinstance(answer, Ok):
-            self._allotment.heard(view_of(answer.ok_value, tools.clock.now()))
+            self._allotment.update_view(view_of(answer.ok_value, tools.clock.now()))
         return answer
 
     def _elsewhere(self, sums: BudgetResult) -> int:
--- a/cranberrywall/budgets/_totals.py
+++ b/cranberrywall/budgets/_totals.py
@@ -26,7 +26,7 @@
 """Totals in one log line at most."""
 
 
-class CreditRaiser:
+class CreditUpdater:
     """Raise the credits of the ledger groups that this control host leads.
 
     The copy of the configuration on the same host tells the totals. Where it lags behind,
@@ -42,7 +42,7 @@
         self._raised_by_budget: dict[str, int] = {}
         self._led: set[str] = set()
 
-    def note_change(self, revision: int) -> None:
+    def on_configuration_change(self, revision: int) -> None:
         """Look at once: a new configuration is in force."""
         self._changed.set()
 
--- a/cranberrywall/budgets/_transfer_reports.py
+++ b/cranberrywall/budgets/_transfer_reports.py
@@ -6,9 +6,9 @@
 
 from result import Err, Ok, Result
 
+from cranberrywall.budgets._charge_replication import ChargeReplicator, Kept
 from cranberrywall.budgets._client import LedgerClient
-from cranberrywall.budgets._keepers import Keeper, Kept
-from cranberrywall.budgets._pending import Charged
+from cranberrywall.budgets._pending import ChargedAllotment
 from cranberrywall.budgets.messages import (
     MAX_TRANSFERS_IN_BATCH,
     Holder,
@@ -30,14 +30,19 @@
 RETRY_MOST_S = 1.0
 
 
-_Report = tuple[Transfer, Charged | None]
+_Report = tuple[Transfer, ChargedAllotment | None]
 
 
 class TransferReports:
     """Hold the transfers that the ledger has not confirmed, in their order."""
 
     def __init__(
-        self, group: str, ledger: LedgerClient, keeper: Keeper, clock: Clock, timeout_s: float
+        self,
+        group: str,
+        ledger: LedgerClient,
+        keeper: ChargeReplicator,
+        clock: Clock,
+        timeout_s: float,
     ) -> None:
         """``timeout_s`` is how long the ledger may take for a batch."""
         self._group = group
@@ -62,12 +67,12 @@
         """Return the budgets in which this host was given money that is not reported yet."""
         return {transfer.budget for transfer, taken_by in self._waiting if taken_by}
 
-    def add(self, transfer: Transfer, taken_by: Charged | None) -> None:
+    def add(self, transfer: Transfer, taken_by: ChargedAllotment | None) -> None:
         """Queue a transfer, to be reported at once."""
         self._waiting.append((transfer, taken_by))
         self._due_at = 0.0
 
-    def extend(self, more: Iterable[tuple[Transfer, Charged | None]]) -> None:
+    def extend(self, more: Iterable[tuple[Transfer, ChargedAllotment | None]]) -> None:
         """Queue transfers behind those that wait."""
         self._waiting.extend(more)
 
--- a/cranberrywall/budgets/_transfers.py
+++ b/cranberrywall/budgets/_transfers.py
@@ -13,9 +13,9 @@
 from result import Err, Ok, Result
 
 from cranberrywall.budgets._allotment import Allotment
+from cranberrywall.budgets._charge_replication import ChargeReplicator, Kept
 from cranberrywall.budgets._client import LedgerClient
 from cranberrywall.budgets._interfaces import PeerHost
-from cranberrywall.budgets._keepers import Keeper, Kept
 from cranberrywall.budgets._peer_messages import TAKE, TakeReply, TakeRequest
 from cranberrywall.budgets.messages import Holder, Transfer
 from cranberrywall.errors import ErrorKind, Refusal
@@ -62,10 +62,10 @@
     budget: str
 
 
-class Giver:
+class TransferDonor:
     """Answer peers that are short of money."""
 
-    def __init__(self, ledger: LedgerClient, keeper: Keeper, clock: Clock) -> None:
+    def __init__(self, ledger: LedgerClient, keeper: ChargeReplicator, clock: Clock) -> None:
         self._ledger = ledger
         self._keeper = keeper
         self._clock = clock
@@ -187,13 +187,13 @@
     return spendable if spendable - gift < minimum else gift
 
 
-class Taker:
+class TransferRecipient:
     """Ask peers for money."""
 
     def __init__(
         self,
         caller: Caller,
-        keeper: Keeper,
+        keeper: ChargeReplicator,
         is_ended: Callable[[Holder], bool],
         clock: Clock,
         random: Random,
--- a/cranberrywall/budgets/_unseen.py
+++ b/cranberrywall/budgets/_unreported_spend.py
@@ -8,7 +8,7 @@
 from cranberrywall.budgets._reach import Reach
 
 
-class Unseen:
+class UnreportedSpend:
     """Count what is kept, given and got since the ledger last heard of all that was before.
 
     ``kept`` are charges, ``given`` transfers to peers, and ``received`` those from peers. What is
--- a/cranberrywall/callers/_chat.py
+++ b/cranberrywall/callers/_chat.py
@@ -13,7 +13,7 @@
     ChatBody,
     ChatRequest,
     Run,
-    assemble,
+    assemble_completion,
     bound_chat,
     fingerprint,
     parse_chat_body,
@@ -79,7 +79,7 @@
     ) -> web.StreamResponse:
         try:
             if planned.body.stream:
-                return await stream_run(request, run, self._parts.limits.stall_s)
+                return await stream_run(request, run, self._parts.limits.write_timeout_s)
             await run.wait_ended()
             return self._answer_whole(run)
         finally:
@@ -89,14 +89,14 @@
         if run.refusal is not None:
             return self._parts.refuse(run.refusal, run.name.request_id)
         return web.Response(
-            body=assemble(run.frames, run.name.request_id, run.usage),
+            body=assemble_completion(run.frames, run.name.request_id, run.usage),
             content_type=JSON,
             headers=answer_headers(run.name.request_id, Ran.YES),
         )
 
 
 def _fingerprint(body: ChatBody) -> str:
-    return fingerprint("chat", body.passed, body.adapter, body.max_tokens)
+    return fingerprint("chat", body.forwarded_fields, body.adapter, body.max_tokens)
 
 
 def _unknown_model() -> Refusal:
--- a/cranberrywall/callers/_parts.py
+++ b/cranberrywall/callers/_parts.py
@@ -15,13 +15,13 @@
 
 
 class CallerLimits(NamedTuple):
-    """Limit callers: ``stall_s`` seconds for a caller to take what it is sent.
+    """Limit callers: ``write_timeout_s`` seconds for a caller to take what it is sent.
 
     ``ttl_s`` is how long callers may keep an answer to ``GET /v1/addresses``.
     """
 
     bodies: BodyLimits = BodyLimits()
-    stall_s: float = 30.0
+    write_timeout_s: float = 30.0
     ttl_s: float = 10.0
 
 
--- a/cranberrywall/callers/_services.py
+++ b/cranberrywall/callers/_services.py
@@ -13,12 +13,12 @@
     ServiceRequest,
     fingerprint,
     is_repeatable,
-    plain_path,
+    normalize_path,
 )
 
 SERVICES_PREFIX = "/v1/services/"
 
-_PASSED_HEADERS = frozenset(
+_FORWARDED_HEADERS = frozenset(
     {"accept", "accept-language", "content-type", "if-match", "if-none-match", "user-agent"}
 )
 _PASSED_PREFIX = "x-app-"
@@ -61,7 +61,7 @@
             return Err(Refusal(ErrorKind.NOT_FOUND, "no such service", field="service"))
         if service_name not in workspace["reach"]["services"]:
             return Err(_out_of_reach())
-        path = plain_path(f"/{raw_path}")
+        path = normalize_path(f"/{raw_path}")
         if isinstance(path, Err):
             return path
         path_and_query = request.rel_url.raw_path_qs[len(SERVICES_PREFIX) + len(service_name) :]
@@ -90,7 +90,7 @@
     return tuple(
         (name, value)
         for name, value in request.headers.items()
-        if name.lower() in _PASSED_HEADERS or name.lower().startswith(_PASSED_PREFIX)
+        if name.lower() in _FORWARDED_HEADERS or name.lower().startswith(_PASSED_PREFIX)
     )
 
 
--- a/cranberrywall/commands/_caller_front.py
+++ b/cranberrywall/commands/_caller_front.py
@@ -6,7 +6,7 @@
 from aiohttp.typedefs import Handler, Middleware
 
 from cranberrywall.callers import BodyLimits, CallerLimits
-from cranberrywall.entry import CallerStack, FrontParts, StackLinks, make_caller_stack
+from cranberrywall.entry import CallerStack, FrontendContext, StackLinks, make_caller_stack
 from cranberrywall.runtime import Clock, split_address
 from cranberrywall.settings import Settings, seconds, size_in_bytes
 from cranberrywall.targets import Prober, make_announce_routes, make_http_probe
@@ -37,7 +37,7 @@
     async def listen(self) -> None:
         """Leave the address alone: it is bound once there is something to serve."""
 
-    async def serve(self, parts: FrontParts) -> None:
+    async def serve(self, parts: FrontendContext) -> None:
         """Bind the address for callers and targets, and serve them."""
         stack = self._make_stack(parts)
         stack.app.middlewares.append(self._make_settling(parts))
@@ -56,7 +56,7 @@
         self._runner = runner
         router = parts.router
         probe = make_http_probe(stack.session, parts.backoffs, self._clock)
-        prober = Prober(probe, router.doubtful, router.probed, self._clock)
+        prober = Prober(probe, router.targets_to_probe, router.record_probe, self._clock)
         self._prober = asyncio.create_task(prober.run())
 
     def start_draining(self) -> None:
@@ -64,9 +64,9 @@
         if self._stack is not None:
             self._stack.start_draining()
 
-    def quiet_for(self, now: float) -> float:
+    def idle_duration_s(self, now: float) -> float:
         """Return for how long no request has arrived, in seconds."""
-        return self._stack.quiet_for(now) if self._stack is not None else float("inf")
+        return self._stack.idle_duration_s(now) if self._stack is not None else float("inf")
 
     async def stop_listening(self) -> None:
         """Accept no new connection."""
@@ -87,7 +87,7 @@
         if self._stack is not None:
             await self._stack.close()
 
-    def _make_settling(self, parts: FrontParts) -> Middleware:
+    def _make_settling(self, parts: FrontendContext) -> Middleware:
         @web.middleware
         async def settle(request: web.Request, handler: Handler) -> web.StreamResponse:
             await parts.settle(self._clock.now(), self._clock.wall())
@@ -95,7 +95,7 @@
 
         return settle
 
-    def _make_stack(self, parts: FrontParts) -> CallerStack:
+    def _make_stack(self, parts: FrontendContext) -> CallerStack:
         callers = self._settings["callers"]
         return make_caller_stack(
             parts.me.host,
@@ -112,7 +112,7 @@
             metrics=parts.metrics,
             links=StackLinks(self._settings["listen"]["links"], parts.caller, parts.server),
             caller_limits=CallerLimits(
-                bodies=BodyLimits(most_bytes=size_in_bytes(callers["body"])),
+                bodies=BodyLimits(max_bytes=size_in_bytes(callers["body"])),
                 ttl_s=seconds(callers["address_ttl"]),
             ),
             fetch=self._tls.fetch if self._tls else None,
--- a/cranberrywall/commands/_control_program.py
+++ b/cranberrywall/commands/_control_program.py
@@ -7,11 +7,11 @@
 
 from cranberrywall.budgets import LedgerMachine, LedgerSummary, make_ledger_machine
 from cranberrywall.commands._control_ties import (
-    ControlTies,
+    ControlConnections,
     Loop,
-    make_credit_raiser,
-    make_founders,
+    make_credit_updater,
     make_group_settings,
+    make_initial_members,
 )
 from cranberrywall.commands._keys import load_keys
 from cranberrywall.configuration import (
@@ -26,7 +26,7 @@
 from cranberrywall.control import (
     EXIT_RESTART,
     ControlHost,
-    StorageWatch,
+    StorageMonitor,
     ledger_groups,
     make_control_host,
 )
@@ -80,11 +80,11 @@
         orders: OrderController,
         admin: AdminServer,
         state: StateRegistry,
-        ties: ControlTies,
+        connections: ControlConnections,
         loops: Sequence[Loop],
     ) -> None:
         self.state = state
-        self.ties = ties
+        self.connections = connections
         self._loops = loops
         self._host = host
         self._feed = feed
@@ -148,26 +148,28 @@
     }
     machine_by_group = {CONFIGURATION_GROUP: machine, **ledger_by_group}
     host = _make_host(settings, runtime, machine_by_group, caller, server)
-    ties = ControlTies(settings, runtime, me, host, machine.configuration)
-    raiser = make_credit_raiser(host, ledger_by_group, machine.configuration, runtime)
-    feed = _make_feed(settings, machine.configuration, caller, ties, runtime.clock)
+    connections = ControlConnections(settings, runtime, me, host, machine.configuration)
+    raiser = make_credit_updater(host, ledger_by_group, machine.configuration, runtime)
+    feed = _make_feed(settings, machine.configuration, caller, connections, runtime.clock)
     feed.register(server)
     sender = make_http_sender(tls.fetch if tls else None)
     orders = _make_orders(settings, runtime, me, machine, host, sender)
     state = _make_state(settings, runtime.clock, host, machine, orders, ledger_by_group)
-    state.register("untold", lambda: {"revision": feed.untold, "leaving": ties.relay.untold()})
+    state.register(
+        "untold", lambda: {"revision": feed.unnotified, "leaving": connections.relay.unnotified()}
+    )
     register_dump(server, state.dump_section_json)
     metrics = _make_metrics(host, counters, ledger_by_group)
     feed.export(metrics)
-    ties.relay.export(metrics)
+    connections.relay.export(metrics)
     health = _make_health(host, lambda: check_placement(settings, machine.configuration))
     admin = make_admin_server(settings["listen"]["admin"], metrics, state, health, keys.admin)
-    loops = [raiser.run, *ties.loops()]
+    loops = [raiser.run, *connections.loops()]
     if runtime.storage is not None:
         restart = partial(sys.exit, EXIT_RESTART)
         groups = list(host.group_by_name.values())
-        loops.append(StorageWatch(groups, runtime.storage, runtime.clock, restart).run)
-    return ControlProgram(host, feed, orders, admin, state, ties, loops)
+        loops.append(StorageMonitor(groups, runtime.storage, runtime.clock, restart).run)
+    return ControlProgram(host, feed, orders, admin, state, connections, loops)
 
 
 def check_placement(settings: Settings, machine: ConfigurationMachine) -> str | None:
@@ -204,7 +206,7 @@
 ) -> ControlHost:
     return make_control_host(
         settings["host"],
-        make_founders(settings),
+        make_initial_members(settings),
         machine_by_group,
         runtime,
         caller,
@@ -217,13 +219,13 @@
     settings: Settings,
     machine: ConfigurationMachine,
     caller: LinkCaller,
-    ties: ControlTies,
+    connections: ControlConnections,
     clock: Clock,
 ) -> Feed:
     me = SpreadHost(settings["host"], settings["place"], settings["listen"]["links"])
     listed = make_document_peers(lambda: _document_of(machine))
-    peers = ties if settings.get("seeds") else listed
-    return make_control_feed(me, machine, peers, caller, clock, ties.tellers.tells)
+    peers = connections if settings.get("seeds") else listed
+    return make_control_feed(me, machine, peers, caller, clock, connections.tellers.tells)
 
 
 def _document_of(machine: ConfigurationMachine) -> Document:
--- a/cranberrywall/commands/_control_ties.py
+++ b/cranberrywall/commands/_control_ties.py
@@ -6,26 +6,26 @@
 
 from result import Result
 
-from cranberrywall.budgets import BudgetTotal, CreditRaiser
+from cranberrywall.budgets import BudgetTotal, CreditUpdater
 from cranberrywall.configuration import ConfigurationMachine, SpreadHost
 from cranberrywall.control import (
     ChangeMemberReply,
     ChangeMemberRequest,
     ControlContacts,
     ControlHost,
-    Enlistment,
     EnrolledHost,
     Enrolments,
+    GroupJoiner,
     MembersClient,
-    Tellers,
+    NotifierAssignment,
     make_control_client,
 )
 from cranberrywall.errors import Refusal
 from cranberrywall.links import Peer
-from cranberrywall.replication import Founders, GroupSettings, founders_of
+from cranberrywall.replication import GroupSettings, InitialMembers, initial_members_of
 from cranberrywall.runtime import Runtime
 from cranberrywall.settings import Settings
-from cranberrywall.targets import HostRun, TargetRelay
+from cranberrywall.targets import HostIncarnation, TargetRelay
 
 GIVE_UP_S = 10.0
 """A voter that is silent for so long loses its seat, in seconds, where hosts enlist by themselves.
@@ -38,14 +38,14 @@
 Loop = Callable[[], Coroutine[Any, Any, None]]
 
 
-def make_founders(settings: Settings) -> Founders:
+def make_initial_members(settings: Settings) -> InitialMembers:
     """Return who forms the groups where there are none yet."""
     own = settings["listen"]["links"]
     seeds = settings.get("seeds")
     if seeds:
-        return Founders(tuple(seeds), own, settings.get("founding", False))
+        return InitialMembers(tuple(seeds), own, settings.get("founding", False))
     address_by_host = {remote["host"]: remote["links"] for remote in settings["controls"]}
-    return founders_of(address_by_host, settings["host"])
+    return initial_members_of(address_by_host, settings["host"])
 
 
 def make_group_settings(settings: Settings) -> GroupSettings:
@@ -53,7 +53,7 @@
     return GroupSettings(give_up_s=GIVE_UP_S if settings.get("seeds") else None)
 
 
-class ControlTies:
+class ControlConnections:
     """Hold what a control host knows of hosts beyond its groups, and its client of the groups."""
 
     def __init__(
@@ -70,7 +70,7 @@
         self.enrolments = Enrolments(host.members, lambda: machine.revision, clock, random)
         self.enrolments.register(host.server)
         self.contacts = self._make_contacts(runtime, me)
-        self.tellers = Tellers(settings["listen"]["links"], self.controls)
+        self.tellers = NotifierAssignment(settings["listen"]["links"], self.controls)
         self.client: MembersClient = make_control_client(host.caller, clock, self.controls, random)
         kinds = partial(_target_kinds, machine)
         links = settings["listen"]["links"]
@@ -78,7 +78,7 @@
             self._entry_runs, host.caller, clock, kinds, self._others, self.tellers.tells
         )
         self.relay.register(host.server)
-        self._enlistment = Enlistment(me.host, links, host.unheard, self._enlist, clock)
+        self._enlistment = GroupJoiner(me.host, links, host.unheard, self._enlist, clock)
 
     def controls(self) -> Sequence[str]:
         """Return the control hosts' stream addresses known now."""
@@ -98,15 +98,15 @@
             return []
         return [self.contacts.run, self._enlistment.run]
 
-    def _entry_runs(self) -> list[HostRun]:
-        return [HostRun(one.links, one.incarnation) for one in self.enrolments.entries()]
+    def _entry_runs(self) -> list[HostIncarnation]:
+        return [HostIncarnation(one.links, one.incarnation) for one in self.enrolments.entries()]
 
-    def _others(self) -> list[HostRun]:
+    def _others(self) -> list[HostIncarnation]:
         """Return the other control hosts; 0 stands for the incarnation of one not heard of."""
         own = self._settings["listen"]["links"]
         incarnation_by_links = self.enrolments.control_incarnations()
         return [
-            HostRun(links, incarnation_by_links.get(links, 0), is_control=True)
+            HostIncarnation(links, incarnation_by_links.get(links, 0), is_control=True)
             for links in self.controls()
             if links != own
         ]
@@ -126,13 +126,13 @@
         return await self.client.change_member(request, ENLIST_TIMEOUT_S)
 
 
-def make_credit_raiser(
+def make_credit_updater(
     host: ControlHost, ledgers: Iterable[str], machine: ConfigurationMachine, runtime: Runtime
-) -> CreditRaiser:
+) -> CreditUpdater:
     """Return what credits the ledgers up to the totals of the configuration."""
     groups = [host.group_by_name[name] for name in ledgers]
-    raiser = CreditRaiser(groups, lambda: _totals(machine), runtime.clock)
-    machine.watch(raiser.note_change)
+    raiser = CreditUpdater(groups, lambda: _totals(machine), runtime.clock)
+    machine.watch(raiser.on_configuration_change)
     return raiser
 
 
--- a/cranberrywall/commands/_entry_program.py
+++ b/cranberrywall/commands/_entry_program.py
@@ -14,10 +14,10 @@
     make_ledger_client,
 )
 from cranberrywall.budgets.messages import Holder
-from cranberrywall.commands._entry_ties import HostTies, describe_target
+from cranberrywall.commands._entry_ties import HostConnections, describe_target
 from cranberrywall.configuration import make_host_configuration
 from cranberrywall.control import make_control_client
-from cranberrywall.entry import ConfiguredPolicies, Front, FrontParts, Standstill
+from cranberrywall.entry import ConfiguredPolicies, Frontend, FrontendContext, StallDetector
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.hosts import register_drain, register_dump
 from cranberrywall.observability import (
@@ -29,18 +29,18 @@
     make_metrics,
 )
 from cranberrywall.orders import EngineReporter
-from cranberrywall.quarantine import Quarantine, RunWatch, register_quarantine
+from cranberrywall.quarantine import Quarantine, RunTracker, register_quarantine
 from cranberrywall.rates import make_rates
-from cranberrywall.routing import RetryLimits, make_router, make_target_spread
+from cranberrywall.routing import RetryLimits, make_announcement_gossip, make_router
 from cranberrywall.runtime import Runtime, make_network
 from cranberrywall.settings import FleetKeys, Settings, seconds
 from cranberrywall.targets import (
     Announcement,
     Backoffs,
     Change,
-    HostRun,
-    LeavingNews,
-    ask_who_leaves,
+    HostIncarnation,
+    LeavingUpdates,
+    fetch_leaving_targets,
     make_targets,
     register_relay,
 )
@@ -74,7 +74,7 @@
         settings: Settings,
         runtime: Runtime,
         keys: FleetKeys,
-        front: Front,
+        front: Frontend,
         retry_limits: RetryLimits | None = None,
         hand_back_s: float | None = None,
     ) -> None:
@@ -85,19 +85,23 @@
         self._front = front
         self._retry_limits = retry_limits
         self._configuration = make_host_configuration(runtime.storage)
-        ties = HostTies(settings, runtime, keys, self._configuration)
-        self._ties = ties
-        self._me, self._server, self._caller = ties.me, ties.server, ties.caller
-        self._membership, self._follower = ties.membership, ties.follower
-        clock, controls = runtime.clock, ties.controls
+        connections = HostConnections(settings, runtime, keys, self._configuration)
+        self._connections = connections
+        self._me, self._server, self._caller = (
+            connections.me,
+            connections.server,
+            connections.caller,
+        )
+        self._membership, self._follower = connections.membership, connections.follower
+        clock, controls = runtime.clock, connections.controls
         self._control = make_control_client(self._caller, clock, controls, runtime.random)
         self._allotments: HostAllotments | None = None
         self._targets = make_targets()
-        self._spread = make_target_spread(self._targets, self._membership.spread, clock)
+        self._spread = make_announcement_gossip(self._targets, self._membership.gossip, clock)
         # Targets' own listeners are asked only whether they take connections, without a word.
-        watch = RunWatch(self._targets, make_network(), clock)
-        spread = ties.membership.spread
-        self._quarantine = Quarantine(self._me.host, watch, spread, clock)
+        tracker = RunTracker(self._targets, make_network(), clock)
+        gossip = connections.membership.gossip
+        self._quarantine = Quarantine(self._me.host, tracker, gossip, clock)
         self._rates = make_rates(
             self._me.host,
             self._targets,
@@ -108,7 +112,7 @@
             runtime.random,
         )
         self._backoffs = Backoffs(clock, runtime.random)
-        self._leaving = LeavingNews(self._control_runs, self._caller, clock)
+        self._leaving = LeavingUpdates(self._control_runs, self._caller, clock)
         self._reporter = EngineReporter(
             self._caller, clock, controls, lambda: self._waiting_by_model()
         )
@@ -118,8 +122,8 @@
         register_relay(self._server, self._publish)
         register_quarantine(self._server, self._quarantine)
         self._metrics = make_metrics()
-        ties.counters.export(self._metrics)
-        ties.membership.export(self._metrics)
+        connections.counters.export(self._metrics)
+        connections.membership.export(self._metrics)
         self._follower.export(self._metrics)
         self._quarantine.export(self._metrics)
         self._rates.export(self._metrics)
@@ -162,8 +166,8 @@
         clock = self._runtime.clock
         log_event("INFO", "entry_draining", running=self._front.running)
         await clock.sleep(seconds(self._settings["callers"]["address_ttl"]) + TTL_MARGIN_S)
-        while self._front.quiet_for(clock.now()) < QUIET_S:
-            await clock.sleep(QUIET_S - self._front.quiet_for(clock.now()))
+        while self._front.idle_duration_s(clock.now()) < QUIET_S:
+            await clock.sleep(QUIET_S - self._front.idle_duration_s(clock.now()))
 
     async def stop(self) -> None:
         """Finish the requests in progress, hand the money back and close everything."""
@@ -187,8 +191,8 @@
         log_event("INFO", "entry_stopped")
 
     async def _become_ready(self) -> None:
-        if self._ties.contacts is not None:
-            self._tasks.append(asyncio.create_task(self._ties.contacts.run()))
+        if self._connections.contacts is not None:
+            self._tasks.append(asyncio.create_task(self._connections.contacts.run()))
         await self._membership.start()
         revision = await self._follower.join()
         self._tasks.append(asyncio.create_task(self._follower.run()))
@@ -248,8 +252,8 @@
             on_leaving=self._note_leaving,
         )
         self._waiting_by_model = router.waiting_by_model
-        standstill = Standstill(runtime.clock, self._catch_up)
-        parts = FrontParts(
+        standstill = StallDetector(runtime.clock, self._catch_up)
+        parts = FrontendContext(
             self._me,
             self._configuration,
             self._membership,
@@ -274,16 +278,16 @@
 
     async def _catch_up(self) -> None:
         """Ask what changed while this process did not run."""
-        controls = list(self._ties.controls())[:CONTROLS_ASKED]
+        controls = list(self._connections.controls())[:CONTROLS_ASKED]
         await asyncio.gather(
-            self._follower.check(), ask_who_leaves(controls, self._caller, self._publish)
+            self._follower.check(), fetch_leaving_targets(controls, self._caller, self._publish)
         )
 
     def _is_current(self, now: float) -> bool:
         if not self._follower.has_newest_heard:
             return False
-        contacts = self._ties.contacts
-        return contacts is None or contacts.heard_lately(now)
+        contacts = self._connections.contacts
+        return contacts is None or contacts.is_recently_seen(now)
 
     async def _expire_targets(self) -> None:
         clock = self._runtime.clock
@@ -292,11 +296,11 @@
             self._quarantine.expire(clock.now())
             self._rates.expire(clock.now())
             self._backoffs.expire(clock.now())
-            contacts = self._ties.contacts
+            contacts = self._connections.contacts
             # Where control takes the targets' renewals in, a host that is cut off from it
             # hears none. That says nothing of the targets: they are used as long as they
             # answer.
-            if contacts is None or contacts.heard_lately(clock.now()):
+            if contacts is None or contacts.is_recently_seen(clock.now()):
                 self._spread.expire(clock.now())
 
     async def _report_load(self) -> None:
@@ -324,8 +328,10 @@
         # Control passes it on to entry hosts that the others cannot reach.
         self._leaving.add(leaving, now)
 
-    def _control_runs(self) -> list[HostRun]:
-        return [HostRun(links, 0, is_control=True) for links in self._ties.controls()]
+    def _control_runs(self) -> list[HostIncarnation]:
+        return [
+            HostIncarnation(links, 0, is_control=True) for links in self._connections.controls()
+        ]
 
     def _make_allotments(self, ledger: LedgerClient) -> HostAllotments:
         return make_allotments(
@@ -333,7 +339,7 @@
             self._me.place,
             ledger,
             self._membership,
-            self._ties.entry_hosts,
+            self._connections.entry_hosts,
             ConfiguredPolicies(self._configuration),
             self._caller,
             self._server,
--- a/cranberrywall/commands/_entry_ties.py
+++ b/cranberrywall/commands/_entry_ties.py
@@ -12,13 +12,13 @@
     make_follower,
 )
 from cranberrywall.control import ControlContacts, EnrolledHost
-from cranberrywall.entry import ConfiguredHosts, DiscoveredHosts, LivePeers, carry_revisions
+from cranberrywall.entry import ConfiguredHosts, DiscoveredHosts, LivePeers, gossip_revisions
 from cranberrywall.hosts import (
     HostState,
     HostView,
     LiveMembership,
     make_membership,
-    pace_of,
+    membership_timings,
 )
 from cranberrywall.links import (
     LinkCaller,
@@ -32,10 +32,10 @@
 from cranberrywall.rates import TargetRates
 from cranberrywall.runtime import Runtime
 from cranberrywall.settings import FleetKeys, Settings
-from cranberrywall.targets import Announcement, Backoffs, TargetStart
+from cranberrywall.targets import Announcement, Backoffs, TargetIncarnation
 
 
-class HostTies:
+class HostConnections:
     """Hold one entry host's identity, its streams, and what it knows of the other hosts.
 
     ``contacts`` is there where the settings name seeds: the control hosts and the other
@@ -142,7 +142,7 @@
             self.caller,
             self._runtime.clock,
             self._runtime.random,
-            pace_of(self._settings),
+            membership_timings(self._settings),
         )
 
     def _make_follower(self, configuration: HostConfiguration) -> Follower:
@@ -156,7 +156,7 @@
             self._runtime.clock,
             self._runtime.random,
         )
-        carry_revisions(self.membership.spread, configuration, follower, me.links)
+        gossip_revisions(self.membership.gossip, configuration, follower, me.links)
         return follower
 
 
@@ -165,7 +165,7 @@
 ) -> dict[str, Any]:
     """Return what the state dump shows of a target."""
     load = announcement.load
-    start = TargetStart(announcement.target, announcement.incarnation)
+    start = TargetIncarnation(announcement.target, announcement.incarnation)
     return {
         "kind": announcement.kind,
         "name": announcement.name,
--- a/cranberrywall/configuration/_feed.py
+++ b/cranberrywall/configuration/_feed.py
@@ -136,7 +136,7 @@
         )
 
     @property
-    def untold(self) -> Sequence[str]:
+    def unnotified(self) -> Sequence[str]:
         """Return the addresses of the hosts that are being told now."""
         return sorted(self._telling)
 
--- a/cranberrywall/configuration/_host.py
+++ b/cranberrywall/configuration/_host.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from cranberrywall.configuration._in_force import (
-    InForce,
+    ActiveConfiguration,
     ServedConfiguration,
     make_in_force,
     make_next_in_force,
@@ -107,7 +107,7 @@
         newer = [delta for delta in self._window if delta.revision.number > since]
         return tuple(newer[:limit])
 
-    async def _bring_in_force(self, after: InForce, deltas: tuple[Delta, ...]) -> None:
+    async def _bring_in_force(self, after: ActiveConfiguration, deltas: tuple[Delta, ...]) -> None:
         # It is remembered before it is in force. The other way round, a host that crashed
         # between the two would come back with a lower revision than it had served by.
         if self._memory is not None:
--- a/cranberrywall/configuration/_in_force.py
+++ b/cranberrywall/configuration/_in_force.py
@@ -18,7 +18,7 @@
     owner: NamedWorkspace
 
 
-class InForce(NamedTuple):
+class ActiveConfiguration(NamedTuple):
     """Hold a document with its revision, its chain's hash and the index of its keys."""
 
     revision: int
@@ -27,15 +27,15 @@
     owner_by_digest: dict[bytes, KeyOwner]
 
 
-def make_in_force(revision: int, chain: int, document: Document) -> InForce:
+def make_in_force(revision: int, chain: int, document: Document) -> ActiveConfiguration:
     """Index a whole document."""
     owner_by_digest: dict[bytes, KeyOwner] = {}
     for name, workspace in document["workspaces"].items():
         _add_keys(owner_by_digest, name, workspace)
-    return InForce(revision, chain, document, owner_by_digest)
+    return ActiveConfiguration(revision, chain, document, owner_by_digest)
 
 
-def make_next_in_force(before: InForce, delta: Delta) -> InForce:
+def make_next_in_force(before: ActiveConfiguration, delta: Delta) -> ActiveConfiguration:
     """Apply ``delta``, and index anew only the workspaces that it edits."""
     document = apply_edits(before.document, delta.edits)
     names = [edit.name for edit in delta.edits if edit.section == "workspaces"]
@@ -48,7 +48,7 @@
     for name in names:
         if name in document["workspaces"]:
             _add_keys(owner_by_digest, name, document["workspaces"][name])
-    return InForce(delta.revision.number, delta.chain, document, owner_by_digest)
+    return ActiveConfiguration(delta.revision.number, delta.chain, document, owner_by_digest)
 
 
 def _add_keys(owner_by_digest: dict[bytes, KeyOwner], name: str, workspace: Workspace) -> None:
@@ -62,7 +62,7 @@
         owner_by_digest.pop(bytes.fromhex(key["sha256"]), None)
 
 
-def nothing_in_force() -> InForce:
+def nothing_in_force() -> ActiveConfiguration:
     """Return what a host has before any revision."""
     return make_in_force(0, 0, empty_document())
 
@@ -70,7 +70,7 @@
 class ServedConfiguration:
     """Implement ``Configuration`` over one revision, which a subclass may replace."""
 
-    def __init__(self, in_force: InForce) -> None:
+    def __init__(self, in_force: ActiveConfiguration) -> None:
         self._in_force = in_force
 
     @property
--- a/cranberrywall/configuration/_memory.py
+++ b/cranberrywall/configuration/_memory.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from cranberrywall.configuration._edits import apply_edits
-from cranberrywall.configuration._in_force import InForce, make_in_force
+from cranberrywall.configuration._in_force import ActiveConfiguration, make_in_force
 from cranberrywall.configuration.messages import Delta, DocumentAt
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.runtime import Storage
@@ -37,14 +37,16 @@
         self._tail: list[Delta] = []
         self._has_document = False
 
-    async def recall(self) -> Result[InForce | None, Refusal]:
+    async def recall(self) -> Result[ActiveConfiguration | None, Refusal]:
         """Return what was remembered, ``None`` where there is nothing, or ``CORRUPT``."""
         try:
             return await self._storage.run_blocking(self._read)
         except OSError as error:
             return Err(Refusal(ErrorKind.STORAGE_FAILED, str(error)))
 
-    async def remember(self, in_force: InForce, deltas: tuple[Delta, ...]) -> Result[None, Refusal]:
+    async def remember(
+        self, in_force: ActiveConfiguration, deltas: tuple[Delta, ...]
+    ) -> Result[None, Refusal]:
         """Make ``in_force`` durable; ``deltas`` led to it, or none where a snapshot did."""
         tail = [*self._tail, *deltas]
         whole = not deltas or not self._has_document or len(tail) > DOCUMENT_EVERY
@@ -61,7 +63,7 @@
         self._has_document = True
         return Ok(None)
 
-    def _write_document(self, in_force: InForce) -> None:
+    def _write_document(self, in_force: ActiveConfiguration) -> None:
         # Deltas up to the new document may stay in the other file: they are passed over
         # when read, so a crash between two writes leaves nothing half done.
         document = cast(dict[str, Any], in_force.document)
@@ -71,7 +73,7 @@
     def _write_tail(self, tail: list[Delta]) -> None:
         self._storage.replace(DELTAS_FILE, _seal(msgspec.msgpack.encode(_Tail(tuple(tail)))))
 
-    def _read(self) -> Result[InForce | None, Refusal]:
+    def _read(self) -> Result[ActiveConfiguration | None, Refusal]:
         sealed = self._storage.read(DOCUMENT_FILE)
         if sealed is None:
             return Ok(None)
@@ -87,7 +89,7 @@
         self._has_document = True
         return Ok(self._join(whole.ok_value, tail.ok_value))
 
-    def _join(self, whole: DocumentAt, tail: _Tail) -> InForce:
+    def _join(self, whole: DocumentAt, tail: _Tail) -> ActiveConfiguration:
         revision, chain = whole.revision, whole.chain
         document = whole.checked
         for delta in tail.deltas:
--- a/cranberrywall/control/__init__.py
+++ b/cranberrywall/control/__init__.py
@@ -1,12 +1,12 @@
 """Assemble the control program, and call it from the other programs."""
 
 from cranberrywall.control._client import ControlClient, MembersClient, make_control_client
-from cranberrywall.control._contacts import ControlContacts, Enlistment
+from cranberrywall.control._contacts import ControlContacts, GroupJoiner
 from cranberrywall.control._enrolment import Enrolments
 from cranberrywall.control._placement import ledger_group, ledger_groups
 from cranberrywall.control._program import ControlHost, make_control_host
-from cranberrywall.control._storage_watch import EXIT_RESTART, StorageWatch
-from cranberrywall.control._tellers import TELLERS, Tellers
+from cranberrywall.control._storage_watch import EXIT_RESTART, StorageMonitor
+from cranberrywall.control._tellers import NOTIFIERS_PER_HOST, NotifierAssignment
 from cranberrywall.control.messages import (
     PROPOSE,
     QUERY,
@@ -24,13 +24,13 @@
     "EXIT_RESTART",
     "PROPOSE",
     "QUERY",
-    "TELLERS",
+    "NOTIFIERS_PER_HOST",
     "ChangeMemberReply",
     "ChangeMemberRequest",
     "ControlClient",
     "ControlContacts",
     "ControlHost",
-    "Enlistment",
+    "GroupJoiner",
     "EnrolledHost",
     "Enrolments",
     "MembersClient",
@@ -39,8 +39,8 @@
     "ProposeRequest",
     "QueryReply",
     "QueryRequest",
-    "StorageWatch",
-    "Tellers",
+    "StorageMonitor",
+    "NotifierAssignment",
     "ledger_group",
     "ledger_groups",
     "make_control_client",
--- a/cranberrywall/control/_contacts.py
+++ b/cranberrywall/control/_contacts.py
@@ -71,7 +71,7 @@
         others = [address for address in known if address != self._me.links]
         return others or list(known)
 
-    def heard_lately(self, now: float) -> bool:
+    def is_recently_seen(self, now: float) -> bool:
         """Say whether a control host answered this one within ``LOST_AFTER_S``."""
         return now - self._heard_at <= LOST_AFTER_S
 
@@ -93,7 +93,7 @@
             return False
         reply = answer.ok_value
         now = self._clock.now()
-        if not self.heard_lately(now):
+        if not self.is_recently_seen(now):
             log_event("INFO", "control_in_reach", control=address, controls=len(reply.controls))
         self._heard_at = now
         # An answer without control hosts is one of a host that knows of none yet.
@@ -103,7 +103,7 @@
         return True
 
 
-class Enlistment:
+class GroupJoiner:
     """Have this host taken in by groups that it hears no leader of.
 
     A control host whose seat was given away while it was cut off, or that comes with an
--- a/cranberrywall/control/_program.py
+++ b/cranberrywall/control/_program.py
@@ -27,8 +27,8 @@
 from cranberrywall.links import LinkCaller, LinkServer, Peer, Server
 from cranberrywall.observability import log_event
 from cranberrywall.replication import (
-    Founders,
     GroupSettings,
+    InitialMembers,
     Replica,
     StateMachine,
     make_group,
@@ -161,7 +161,7 @@
 
     def unheard(self) -> list[str]:
         """Return the groups of which this host hears no leader."""
-        return [name for name, group in self.group_by_name.items() if not group.hears_leader]
+        return [name for name, group in self.group_by_name.items() if not group.has_leader_contact]
 
     def members(self) -> list[str]:
         """Return the stream addresses of all groups' members, as this host's logs name them."""
@@ -191,7 +191,7 @@
 
 def make_control_host(
     host: str,
-    founders: Founders,
+    founders: InitialMembers,
     machine_by_group: Mapping[str, StateMachine],
     runtime: Runtime,
     caller: LinkCaller,
--- a/cranberrywall/control/_storage_watch.py
+++ b/cranberrywall/control/_storage_watch.py
@@ -22,7 +22,7 @@
 _PROBE_BYTES = bytes(4096)
 
 
-class StorageWatch:
+class StorageMonitor:
     """Watch the groups' members of one host; ``restart`` ends the process."""
 
     def __init__(
--- a/cranberrywall/control/_tellers.py
+++ b/cranberrywall/control/_tellers.py
@@ -4,14 +4,14 @@
 
 import xxhash
 
-TELLERS = 3
+NOTIFIERS_PER_HOST = 3
 """Control hosts that tell each entry host.
 
 Two of them may be lost at once, and with each of the others a third of all entry hosts would wait
 for the next turn of asking."""
 
 
-class Tellers:
+class NotifierAssignment:
     """Say which entry hosts fall to one control host; by rendezvous hash, so that few move."""
 
     def __init__(self, own: str, controls: Callable[[], Sequence[str]]) -> None:
@@ -29,18 +29,18 @@
             self._is_mine_by_entry = {}
         is_mine = self._is_mine_by_entry.get(entry)
         if is_mine is None:
-            is_mine = self._own in tellers_of(entry, among)
+            is_mine = self._own in notifiers_of(entry, among)
             self._is_mine_by_entry[entry] = is_mine
         return is_mine
 
 
-def tellers_of(entry: str, controls: frozenset[str]) -> list[str]:
+def notifiers_of(entry: str, controls: frozenset[str]) -> list[str]:
     """Return the control hosts that tell an entry host.
 
-    >>> tellers_of("10.1.0.1:70", frozenset({"10.0.0.1:70"}))
+    >>> notifiers_of("10.1.0.1:70", frozenset({"10.0.0.1:70"}))
     ['10.0.0.1:70']
     """
     ranked = sorted(
         controls, key=lambda control: xxhash.xxh64_intdigest(f"{control}|{entry}".encode())
     )
-    return ranked[:TELLERS]
+    return ranked[:NOTIFIERS_PER_HOST]
--- a/cranberrywall/demo/_ledger.py
+++ b/cranberrywall/demo/_ledger.py
@@ -71,7 +71,7 @@
         self._configuration = ConfigurationClient(control, CALL_TIMEOUT_S)
         self._ledger: LedgerClient = make_ledger_client(control, files.document["ledger_groups"])
 
-    async def commit(self, document: Document, patience_s: float) -> int:
+    async def commit(self, document: Document, max_wait_s: float) -> int:
         """Commit the first document; return its revision."""
         edits = edits_between(empty_document(), document)
         at = self._clock.wall()
@@ -80,10 +80,10 @@
             result = await self._configuration.change(edits, 0, "demo-first", OPERATOR, at)
             return result.map(lambda revision: revision.number)
 
-        return await self._persist(change, patience_s)
+        return await self._persist(change, max_wait_s)
 
     async def credit(
-        self, document: Document, amount_by_budget: Mapping[str, int], patience_s: float
+        self, document: Document, amount_by_budget: Mapping[str, int], max_wait_s: float
     ) -> None:
         """Credit each budget once."""
         for budget, amount in amount_by_budget.items():
@@ -96,35 +96,35 @@
                 operator=OPERATOR,
                 at=self._clock.wall(),
             )
-            await self._persist(partial(self._ledger.credit, credit, CALL_TIMEOUT_S), patience_s)
+            await self._persist(partial(self._ledger.credit, credit, CALL_TIMEOUT_S), max_wait_s)
 
-    async def totals(self, patience_s: float) -> Totals:
+    async def totals(self, max_wait_s: float) -> Totals:
         """Read every group's open report and exceptions."""
         rows: list[ReportRow] = []
         duplicates = 0
         for group in self._ledger.groups():
-            rows.extend(await self._rows(group, patience_s))
-            duplicates += await self._duplicates(group, patience_s)
+            rows.extend(await self._rows(group, max_wait_s))
+            duplicates += await self._duplicates(group, max_wait_s)
         return Totals(tuple(rows), duplicates)
 
     async def close(self) -> None:
         """Close the streams."""
         await self._caller.close()
 
-    async def _rows(self, group: str, patience_s: float) -> list[ReportRow]:
+    async def _rows(self, group: str, max_wait_s: float) -> list[ReportRow]:
         rows: list[ReportRow] = []
         after = ""
         while True:
             query = ReportQuery(period="", workspace="", after=after, limit=PAGE)
             page: ReportResult = await self._persist(
-                partial(self._ledger.report, group, query, CALL_TIMEOUT_S), patience_s
+                partial(self._ledger.report, group, query, CALL_TIMEOUT_S), max_wait_s
             )
             rows.extend(page.rows)
             after = page.next_after
             if not after:
                 return rows
 
-    async def _duplicates(self, group: str, patience_s: float) -> int:
+    async def _duplicates(self, group: str, max_wait_s: float) -> int:
         named = 0
         after = 0
         while True:
@@ -132,7 +132,7 @@
                 budget="", open_only=False, now=self._clock.wall(), after=after, limit=PAGE
             )
             page: ExceptionsResult = await self._persist(
-                partial(self._ledger.exceptions, group, query, CALL_TIMEOUT_S), patience_s
+                partial(self._ledger.exceptions, group, query, CALL_TIMEOUT_S), max_wait_s
             )
             named += sum(row.kind == "duplicate" for row in page.rows)
             after = page.next_after
@@ -140,11 +140,11 @@
                 return named + page.unnamed
 
     async def _persist(
-        self, call: Callable[[], Awaitable[Result[ResultT, Any]]], patience_s: float
+        self, call: Callable[[], Awaitable[Result[ResultT, Any]]], max_wait_s: float
     ) -> ResultT:
         # Every command and query here may be sent again: after a start or a lost leader
         # the groups need a moment to elect one.
-        until = self._clock.now() + patience_s
+        until = self._clock.now() + max_wait_s
         while True:
             result = await call()
             if isinstance(result, Ok):
--- a/cranberrywall/demo/_waiting.py
+++ b/cranberrywall/demo/_waiting.py
@@ -12,21 +12,21 @@
 CALL_TIMEOUT_S = 2.0
 
 
-async def wait_until_ready(hosts: Sequence[FleetHost], patience_s: float) -> None:
+async def wait_until_ready(hosts: Sequence[FleetHost], max_wait_s: float) -> None:
     """Wait until each host says that it is ready; raise ``TimeoutError``."""
-    async with aiohttp.ClientSession() as session, asyncio.timeout(patience_s):
+    async with aiohttp.ClientSession() as session, asyncio.timeout(max_wait_s):
         for host in hosts:
             while await _get(session, host, "/readyz") is None:
                 await asyncio.sleep(POLL_S)
 
 
-async def wait_for_targets(files: FleetFiles, count: int, patience_s: float) -> None:
+async def wait_for_targets(files: FleetFiles, count: int, max_wait_s: float) -> None:
     """Wait until each entry host knows ``count`` targets; raise ``TimeoutError``.
 
     An entry host is ready before it has heard of every target. A request sent then is
     refused, truly, by ``no_target``.
     """
-    async with aiohttp.ClientSession() as session, asyncio.timeout(patience_s):
+    async with aiohttp.ClientSession() as session, asyncio.timeout(max_wait_s):
         for host in files.of_role("entry"):
             while await _count_targets(session, host) < count:
                 await asyncio.sleep(POLL_S)
--- a/cranberrywall/entry/_configured.py
+++ b/cranberrywall/entry/_configured.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from cranberrywall.budgets import EntryHost, KnownBudget, SpendPolicy
+from cranberrywall.budgets import BudgetAssignment, EntryHost, SpendPolicy
 from cranberrywall.configuration import Configuration
 from cranberrywall.hosts import HostState, HostView
 
@@ -84,18 +84,18 @@
             return SpendPolicy()
         return SpendPolicy(policy["held_back"], policy["isolated"])
 
-    def known_budgets(self) -> Sequence[KnownBudget]:
+    def budget_assignments(self) -> Sequence[BudgetAssignment]:
         """Return the budgets of the configuration; none where there are many."""
         document = self._configuration.document
         if len(document["budgets"]) > MOST_KNOWN_BUDGETS:
             return ()
         workspace_by_budget = {one["budget"]: name for name, one in document["workspaces"].items()}
         return [
-            KnownBudget(budget, workspace, document["budgets"][budget].get("total", 0))
+            BudgetAssignment(budget, workspace, document["budgets"][budget].get("total", 0))
             for budget, workspace in sorted(workspace_by_budget.items())
         ]
 
-    def spends_alone(self) -> bool:
+    def allows_isolated_spend(self) -> bool:
         """Say whether any workspace's policy lets a host spend that is alone."""
         policies = self._configuration.document["policies"]
         return any(policy["isolated"] == "spend" for policy in policies.values())
--- a/cranberrywall/entry/_front.py
+++ b/cranberrywall/entry/_front.py
@@ -14,14 +14,14 @@
 from cranberrywall.targets import Announcement, Backoffs, Targets
 
 
-class FrontParts(NamedTuple):
+class FrontendContext(NamedTuple):
     """Hold what a front uses of its host once there is a configuration to serve by.
 
     ``publish`` passes on what a target said at first hand. ``is_current`` says whether no
     newer configuration than the one in force is known, and control was heard of lately.
     ``quarantine`` says which requests must not go to targets, ``backoffs`` which
     targets asked this host for none. ``settle`` is awaited with the
-    present times before a request is decided; see ``Standstill``.
+    present times before a request is decided; see ``StallDetector``.
     """
 
     me: Peer
@@ -42,7 +42,7 @@
     settle: Callable[[float, float], Awaitable[None]]
 
 
-class Front(Protocol):
+class Frontend(Protocol):
     """Serve callers over HTTP."""
 
     @property
@@ -54,7 +54,7 @@
         """Bind the addresses as the process starts, or raise ``OSError``."""
         ...
 
-    async def serve(self, parts: FrontParts) -> None:
+    async def serve(self, parts: FrontendContext) -> None:
         """Begin to serve: there is a configuration now."""
         ...
 
@@ -62,7 +62,7 @@
         """Send callers elsewhere; those that still come are served."""
         ...
 
-    def quiet_for(self, now: float) -> float:
+    def idle_duration_s(self, now: float) -> float:
         """Return for how long no request has arrived, in seconds."""
         ...
 
--- a/cranberrywall/entry/_revisions.py
+++ b/cranberrywall/entry/_revisions.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 
 from cranberrywall.configuration import Follower, HostConfiguration
-from cranberrywall.hosts import HostView, Item, Membership, Spread
+from cranberrywall.hosts import Gossip, HostView, Item, Membership
 
 TOPIC = "configuration"
 KEY = "newest"
@@ -25,8 +25,8 @@
         return self._configured.alive()
 
 
-def carry_revisions(
-    spread: Spread, configuration: HostConfiguration, follower: Follower, links: str
+def gossip_revisions(
+    gossip: Gossip, configuration: HostConfiguration, follower: Follower, links: str
 ) -> None:
     """Publish each revision that comes in force here, and follow those of others.
 
@@ -35,11 +35,11 @@
     """
 
     def publish(revision: int) -> None:
-        spread.publish(Item(TOPIC, KEY, (revision,), links.encode()))
+        gossip.publish(Item(TOPIC, KEY, (revision,), links.encode()))
 
     def hear(item: Item) -> None:
         if item.version and item.payload:
             follower.hear(item.version[0], item.payload.decode())
 
-    spread.subscribe(TOPIC, hear)
+    gossip.subscribe(TOPIC, hear)
     configuration.watch(publish)
--- a/cranberrywall/entry/_stack.py
+++ b/cranberrywall/entry/_stack.py
@@ -22,13 +22,13 @@
 from cranberrywall.quarantine import Quarantine
 from cranberrywall.requests import (
     Attempts,
-    Background,
+    BackgroundTasks,
     ChatRunner,
     ChatRuns,
     EngineLimits,
+    FollowHandler,
     IntentLedger,
     Intents,
-    Leader,
     Owner,
     Registry,
     RequestMetrics,
@@ -64,7 +64,7 @@
         self,
         parts: CallerParts,
         sessions: tuple[aiohttp.ClientSession, ...],
-        background: Background,
+        background: BackgroundTasks,
     ) -> None:
         self._sessions = sessions
         self._background = background
@@ -90,7 +90,7 @@
         """Ask callers, with each answer, to close their connection after it."""
         self._is_draining = True
 
-    def quiet_for(self, now: float) -> float:
+    def idle_duration_s(self, now: float) -> float:
         """Return for how long no request has arrived, in seconds."""
         return now - self._last_arrival_at
 
@@ -155,7 +155,7 @@
     ``links`` the host stands alone: a retry at another one runs again.
     """
     counts = RequestMetrics(metrics or make_metrics())
-    background = Background()
+    background = BackgroundTasks()
     session = _make_session(fetch, reuse=True)
     once_session = _make_session(fetch, reuse=False)
     engine_limits = engine_limits or EngineLimits()
@@ -178,11 +178,11 @@
     )
     if links is not None and registry is not None:
         registry.register(links.server)
-        Leader(chats.find, clock).register(links.server)
+        FollowHandler(chats.find, clock).register(links.server)
     runner = ServiceRunner(
         allotments,
         router,
-        ServiceClient(session, once_session, counts, engine_limits.connect_s),
+        ServiceClient(session, once_session, counts, engine_limits.connect_timeout_s),
         Intents(intents, Holder(host, incarnation), membership, clock, background),
         Witnesses(registry, lambda: _count_missing(configuration, membership)),
         clock,
--- a/cranberrywall/entry/_standstill.py
+++ b/cranberrywall/entry/_standstill.py
@@ -15,7 +15,7 @@
 busy host is late by."""
 
 
-class Standstill:
+class StallDetector:
     """Compare the clocks again and again; ``settle`` waits where they show a gap.
 
     A host that is frozen for some seconds finds callers' requests waiting when it wakes, and would
--- a/cranberrywall/forwarding/_attempts.py
+++ b/cranberrywall/forwarding/_attempts.py
@@ -52,13 +52,13 @@
 
     def may_go_on(self) -> bool:
         """Say whether another target may be tried after a failure."""
-        if self.sent >= self.plan.route["attempts"] or self.left_s() < LEAST_LEFT_S:
+        if self.sent >= self.plan.route["attempts"] or self.remaining_s() < LEAST_LEFT_S:
             return False
         if len(self.targets) >= self.plan.route["attempts"] + MOST_UNSENT:
             return False
         return self.plan.repeats.may_run_again or not self.may_have_run
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Return the time until the deadline, in seconds."""
         return self.plan.deadline - self._clock.now()
 
@@ -75,11 +75,11 @@
             deadline=plan.deadline,
             bound_tokens=generation.bound if generation else 1,
             prefix_hashes=self._blocks,
-            home=self._blocks[-1] if self._blocks else b"",
+            affinity_hash=self._blocks[-1] if self._blocks else b"",
             exclude=frozenset(self.targets),
             caller=plan.workspace,
             retry=self.sent > 0,
-            again=self.sent == 0 and bool(self.targets),
+            is_resend=self.sent == 0 and bool(self.targets),
         )
         acquired = await self._router.acquire(demand, self._clock.now())
         # It may have been held back while it waited, or for what its last attempt did.
@@ -95,13 +95,13 @@
         """Note that the request goes to the slot's target now, and return the attempt."""
         self.sent += 1
         self.targets.append(slot.target_id)
-        left_s = max(0.0, self.left_s() - DEADLINE_MARGIN_S)
+        remaining_s = max(0.0, self.remaining_s() - DEADLINE_MARGIN_S)
         plan = self.plan
         return Attempt(
             self.arrival,
             slot.target_id,
             plan.workspace,
-            left_s,
+            remaining_s,
             plan.rank,
             last_event,
             plan.fingerprint,
@@ -147,11 +147,11 @@
     """Pass on what an answer's head says of its target."""
     load = head.load
     if load is not None:
-        slot.loaded(load.running, load.waiting, now)
-    slot.rate_named(head.rate, not head.not_run, request_id, now)
-    slot.backoff_asked(head.backoff, request_id, now)
+        slot.record_load(load.running, load.waiting, now)
+    slot.record_rate(head.rate, not head.not_run, request_id, now)
+    slot.record_backoff(head.backoff, request_id, now)
     if head.is_leaving:
-        slot.said_leaving(request_id, now)
+        slot.announced_leaving(request_id, now)
 
 
 def outcome_of(failure: AttemptFailedError) -> Outcome:
--- a/cranberrywall/forwarding/_calls.py
+++ b/cranberrywall/forwarding/_calls.py
@@ -13,15 +13,15 @@
 )
 from cranberrywall.forwarding._conclusion import concluding
 from cranberrywall.forwarding._interfaces import Headers
-from cranberrywall.forwarding._money import Purse
-from cranberrywall.quarantine import RunWatch
+from cranberrywall.forwarding._money import RequestFunds
+from cranberrywall.quarantine import RunTracker
 from cranberrywall.routing import Outcome, OutcomeKind, Slot
 from cranberrywall.runtime import Clock
 
 FAILED_FROM_STATUS = 500
 
 
-class WholeAnswer(NamedTuple):
+class CompleteAnswer(NamedTuple):
     """Hold a target's answer as it goes to the caller."""
 
     status: int
@@ -32,20 +32,20 @@
 class CallForwarder:
     """Try targets until one answers."""
 
-    def __init__(self, client: TargetClient, watch: RunWatch, clock: Clock) -> None:
+    def __init__(self, client: TargetClient, tracker: RunTracker, clock: Clock) -> None:
         self._client = client
-        self._watch = watch
+        self._tracker = tracker
         self._clock = clock
 
-    async def run(self, attempts: Attempts, purse: Purse) -> Result[WholeAnswer, Refusal]:
+    async def run(self, attempts: Attempts, purse: RequestFunds) -> Result[CompleteAnswer, Refusal]:
         """Return a target's own answer, or a refusal that is true of whether the call ran.
 
         A target's own failure is an answer: it is tried again elsewhere where the call may be
         repeated, and goes to the caller as it is where no other target has a better one.
         """
-        failed: WholeAnswer | None = None
+        failed: CompleteAnswer | None = None
         while True:
-            begun = await purse.begin(attempts.left_s())
+            begun = await purse.begin(attempts.remaining_s())
             if isinstance(begun, Err):
                 return Err(attempts.refusal(begun.err_value))
             acquired = await attempts.acquire()
@@ -63,13 +63,13 @@
             if not attempts.may_go_on():
                 return Ok(failed) if failed else Err(attempts.refusal())
 
-    async def _attempt(self, attempts: Attempts, slot: Slot, purse: Purse) -> WholeAnswer:
+    async def _attempt(self, attempts: Attempts, slot: Slot, purse: RequestFunds) -> CompleteAnswer:
         started_at = self._clock.now()
         attempt = attempts.begin(slot, None)
         may_run_again = attempts.plan.repeats.may_run_again
-        with concluding(slot, attempt, purse, self._watch, self._clock) as conclusion:
+        with concluding(slot, attempt, purse, self._tracker, self._clock) as conclusion:
             async with (
-                conclusion.limit(attempt.left_s),
+                conclusion.limit(attempt.remaining_s),
                 self._client.open(slot, attempt, may_run_again) as answer,
             ):
                 conclusion.answered(self._clock.now())
@@ -80,4 +80,4 @@
                 purse.note_whole_answer()
             kind = OutcomeKind.FAILED_AFTER if is_failure else OutcomeKind.ANSWERED
             conclusion.is_whole(Outcome(kind, self._clock.now() - started_at))
-            return WholeAnswer(answer.status, answer.headers, body)
+            return CompleteAnswer(answer.status, answer.headers, body)
--- a/cranberrywall/forwarding/_client.py
+++ b/cranberrywall/forwarding/_client.py
@@ -13,7 +13,7 @@
 from cranberrywall.forwarding._endings import EndingResponse
 from cranberrywall.forwarding._interfaces import Attempt, Dialect, Headers, TargetHead
 from cranberrywall.routing import Slot
-from cranberrywall.targets import NoLongerOfferedError, TargetConnector, while_offered
+from cranberrywall.targets import TargetConnector, TargetWithdrawnError, while_offered
 
 CONNECT_S = 0.6
 """A target that takes no connection within this is left alone, in seconds.
@@ -37,7 +37,7 @@
 _UNSENT_ERRORS = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
-    NoLongerOfferedError,
+    TargetWithdrawnError,
 )
 """Errors that come before the first byte went out."""
 
@@ -178,11 +178,11 @@
         """
         headers = tuple((str(name), value) for name, value in response.headers.items())
         head = self._dialect.read_head(response.status, headers)
-        says_unrun = head.is_other or head.not_run
-        if head.request_id != request_id and (head.request_id or not says_unrun):
+        reports_not_run = head.is_wrong_target or head.not_run
+        if head.request_id != request_id and (head.request_id or not reports_not_run):
             response.close()
             raise AttemptFailedError(FailureKind.CROSSED, f"answers {head.request_id!r}")
-        if head.is_other:
+        if head.is_wrong_target:
             raise AttemptFailedError(FailureKind.WRONG_TARGET, "another target has the address")
         if head.not_run:
             raise AttemptFailedError(FailureKind.NOT_RUN, f"answered {response.status}", head)
--- a/cranberrywall/forwarding/_conclusion.py
+++ b/cranberrywall/forwarding/_conclusion.py
@@ -7,8 +7,8 @@
 from cranberrywall.forwarding._attempts import note_head, outcome_of
 from cranberrywall.forwarding._client import DID_NOT_RUN, AttemptFailedError, FailureKind
 from cranberrywall.forwarding._interfaces import Attempt
-from cranberrywall.forwarding._money import Purse
-from cranberrywall.quarantine import Run, RunEnd, RunWatch, stoppable
+from cranberrywall.forwarding._money import RequestFunds
+from cranberrywall.quarantine import Run, RunEnd, RunTracker, stoppable
 from cranberrywall.routing import Outcome, OutcomeKind, Slot
 from cranberrywall.runtime import Clock
 
@@ -47,7 +47,7 @@
 
 @contextmanager
 def concluding(
-    slot: Slot, attempt: Attempt, purse: Purse, watch: RunWatch, clock: Clock
+    slot: Slot, attempt: Attempt, purse: RequestFunds, tracker: RunTracker, clock: Clock
 ) -> Iterator[Conclusion]:
     """Free the slot at the end, with the outcome; count the request's input from now on.
 
@@ -55,7 +55,9 @@
     request, its input does not count after all.
     """
     arrival = attempt.arrival
-    run = watch.begin(arrival.request_id, slot.target_id, attempt.fingerprint, attempt.is_streamed)
+    run = tracker.begin(
+        arrival.request_id, slot.target_id, attempt.fingerprint, attempt.is_streamed
+    )
     conclusion = Conclusion(run)
     purse.note_sent()
     try:
@@ -73,11 +75,11 @@
         raise
     finally:
         now = clock.now()
-        watch.finish(run, conclusion.end, slot.url, now)
+        tracker.finish(run, conclusion.end, slot.url, now)
         slot.finish(conclusion.outcome, now)
 
 
 def _timed_out(run: Run, attempt: Attempt) -> AttemptFailedError:
     if run.is_stopped:
         return AttemptFailedError(FailureKind.STOPPED, "the request is held back from now on")
-    return AttemptFailedError(FailureKind.LATE, f"no end in {attempt.left_s:.3f} s")
+    return AttemptFailedError(FailureKind.LATE, f"no end in {attempt.remaining_s:.3f} s")
--- a/cranberrywall/forwarding/_forwarder.py
+++ b/cranberrywall/forwarding/_forwarder.py
@@ -8,10 +8,10 @@
 from cranberrywall.configuration import Configuration
 from cranberrywall.errors import Refusal
 from cranberrywall.forwarding._attempts import Attempts
-from cranberrywall.forwarding._calls import CallForwarder, WholeAnswer
+from cranberrywall.forwarding._calls import CallForwarder, CompleteAnswer
 from cranberrywall.forwarding._client import TargetClient, make_session
 from cranberrywall.forwarding._interfaces import Arrival, CallerReply, Dialect
-from cranberrywall.forwarding._money import Cashier, Purse
+from cranberrywall.forwarding._money import RequestBilling, RequestFunds
 from cranberrywall.forwarding._plan import Plan, Planner
 from cranberrywall.forwarding._streams import StreamForwarder
 from cranberrywall.observability import Metrics, log_event
@@ -38,9 +38,9 @@
         self._fresh = make_session(keeps_connections=False)
         client = TargetClient(self._kept, self._fresh, dialect)
         self._planner = Planner(configuration, random)
-        self._cashier = Cashier(allotments, configuration, clock)
-        self._calls = CallForwarder(client, quarantine.watch, clock)
-        self._streams = StreamForwarder(client, quarantine.watch, clock)
+        self._cashier = RequestBilling(allotments, configuration, clock)
+        self._calls = CallForwarder(client, quarantine.tracker, clock)
+        self._streams = StreamForwarder(client, quarantine.tracker, clock)
         self._router = router
         self._quarantine = quarantine
         self._clock = clock
@@ -80,7 +80,7 @@
         await self._fresh.close()
 
     async def _serve_paid(
-        self, arrival: Arrival, plan: Plan, purse: Purse, reply: CallerReply
+        self, arrival: Arrival, plan: Plan, purse: RequestFunds, reply: CallerReply
     ) -> Result[None, Refusal]:
         attempts = Attempts(arrival, plan, self._router, self._quarantine, self._clock)
         try:
@@ -96,8 +96,8 @@
         return await self._finish(attempts, purse, reply, result)
 
     async def _forward(
-        self, attempts: Attempts, purse: Purse, reply: CallerReply
-    ) -> Result[WholeAnswer | None, Refusal]:
+        self, attempts: Attempts, purse: RequestFunds, reply: CallerReply
+    ) -> Result[CompleteAnswer | None, Refusal]:
         if attempts.plan.repeats.is_stream:
             return await self._streams.run(attempts, purse, reply)
         return await self._calls.run(attempts, purse)
@@ -105,14 +105,14 @@
     async def _finish(
         self,
         attempts: Attempts,
-        purse: Purse,
+        purse: RequestFunds,
         reply: CallerReply,
-        result: Result[WholeAnswer | None, Refusal],
+        result: Result[CompleteAnswer | None, Refusal],
     ) -> Result[None, Refusal]:
         if isinstance(result, Err):
             self._note_end(attempts, purse, str(result.err_value.kind), 0, result.err_value)
-            if reply.has_begun:
-                reply.cut()
+            if reply.has_started:
+                reply.abort()
             return result.map(lambda _: None)
         answer = result.ok_value
         if answer is None:
@@ -138,7 +138,7 @@
     def _note_end(
         self,
         attempts: Attempts,
-        purse: Purse,
+        purse: RequestFunds,
         outcome: str,
         status: int,
         refusal: Refusal | None = None,
--- a/cranberrywall/forwarding/_interfaces.py
+++ b/cranberrywall/forwarding/_interfaces.py
@@ -36,7 +36,7 @@
     """Hold one request as a caller sent it.
 
     ``path`` has its query and is sent on byte for byte, as are ``headers`` and ``body``.
-    ``key`` is the bearer key, ``None`` without one. ``patience_s`` is how long the caller
+    ``key`` is the bearer key, ``None`` without one. ``max_wait_s`` is how long the caller
     says that it waits. ``last_event`` is the last event that the caller has of a stream
     which it resumes.
     """
@@ -49,7 +49,7 @@
     body: bytes
     key: str | None
     at: float
-    patience_s: float | None
+    max_wait_s: float | None
     last_event: int | None = None
     generation: Generation | None = None
 
@@ -57,7 +57,7 @@
 class Attempt(NamedTuple):
     """Describe one sending of a request to a target.
 
-    ``left_s`` is the time that the target may use. ``last_event`` is the last event that the
+    ``remaining_s`` is the time that the target may use. ``last_event`` is the last event that the
     caller has. ``rank`` is the priority, 0 first. ``is_streamed`` says that the target begins to
     answer as it begins to run the request.
     """
@@ -65,7 +65,7 @@
     arrival: Arrival
     target_id: str
     workspace: str
-    left_s: float
+    remaining_s: float
     rank: int
     last_event: int | None
     fingerprint: Fingerprint
@@ -84,14 +84,14 @@
     """Hold what the head of a target's answer says.
 
     ``request_id`` is the request that the target says it answers. ``not_run`` says that it
-    did not and will not run the request, ``is_other`` that another target has the address.
+    did not and will not run the request, ``is_wrong_target`` that another target has the address.
     ``rate`` is what it says of the requests that it takes. ``backoff`` is for how many seconds
     it wants no request from this host. ``is_leaving`` says that it takes no new work.
     """
 
     request_id: str
     not_run: bool
-    is_other: bool
+    is_wrong_target: bool
     load: TargetLoad | None
     rate: RateNotice
     backoff: DecimalField
@@ -114,7 +114,7 @@
     """Answer one caller; each answer begins once and ends once."""
 
     @property
-    def has_begun(self) -> bool:
+    def has_started(self) -> bool:
         """Say whether the caller has got the head of an answer."""
         ...
 
@@ -134,6 +134,6 @@
         """Send the end of the body."""
         ...
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Close the connection, so that the answer doesn't look whole."""
         ...
--- a/cranberrywall/forwarding/_money.py
+++ b/cranberrywall/forwarding/_money.py
@@ -37,7 +37,7 @@
 )
 
 
-class Purse:
+class RequestFunds:
     """Hold the money of one request; it is charged at most once.
 
     The input counts from the moment in which a target may have begun, the output as it went
@@ -63,16 +63,16 @@
         output = min(self._output, self._generation.output_limit)
         return self._generation.input_tokens + output
 
-    async def begin(self, left_s: float) -> Result[None, Refusal]:
+    async def begin(self, remaining_s: float) -> Result[None, Refusal]:
         """Charge the most that the request can cost, before its first attempt.
 
-        ``left_s`` is the time that the request has, in seconds.
+        ``remaining_s`` is the time that the request has, in seconds.
         """
         if self._reservation is None or self._has_begun:
             return Ok(None)
         self._has_begun = True
         try:
-            async with asyncio.timeout(BEGIN_SHARE * max(0.0, left_s)):
+            async with asyncio.timeout(BEGIN_SHARE * max(0.0, remaining_s)):
                 return await self._reservation.begin(self._clock.now())
         except TimeoutError:
             return Err(_NOT_DURABLE)
@@ -113,7 +113,7 @@
             log_event("WARNING", "charge_not_durable", refusal=settled.err_value)
 
 
-class Cashier:
+class RequestBilling:
     """Reserve money for requests, and settle what their callers left behind."""
 
     def __init__(
@@ -126,21 +126,21 @@
 
     async def reserve(
         self, arrival: Arrival, workspace: str, deadline: float
-    ) -> Result[Purse, Refusal]:
+    ) -> Result[RequestFunds, Refusal]:
         """Hold the most that the request can cost, where its workspace has a budget."""
         budget = self._budget_of(workspace)
         generation = arrival.generation
         if budget is None or generation is None:
-            return Ok(Purse(None, generation, self._clock))
+            return Ok(RequestFunds(None, generation, self._clock))
         now = self._clock.now()
         until = min(deadline, now + max(LEAST_RESERVE_S, RESERVE_SHARE * (deadline - now)))
         request = ReserveRequest(
             workspace, budget, arrival.request_id, max(1, generation.bound), until
         )
         reserved = await self._allotments.reserve(request, now)
-        return reserved.map(lambda held: Purse(held, generation, self._clock))
+        return reserved.map(lambda held: RequestFunds(held, generation, self._clock))
 
-    def settle_later(self, purse: Purse) -> None:
+    def settle_later(self, purse: RequestFunds) -> None:
         """Settle in a task of its own: the request's task was cancelled."""
         self._start(purse.settle())
 
--- a/cranberrywall/forwarding/_plan.py
+++ b/cranberrywall/forwarding/_plan.py
@@ -77,8 +77,8 @@
         described = document["services"].get(service)
         engine = described.get("engine") if described else None
         time_s = route["timeout_s"]
-        if arrival.patience_s is not None:
-            time_s = min(time_s, arrival.patience_s)
+        if arrival.max_wait_s is not None:
+            time_s = min(time_s, arrival.max_wait_s)
         return Plan(
             route,
             service,
--- a/cranberrywall/forwarding/_routes.py
+++ b/cranberrywall/forwarding/_routes.py
@@ -33,10 +33,10 @@
     def _follow(self) -> None:
         if self._revision != self._configuration.revision:
             self._revision = self._configuration.revision
-            self._route_by_prefix = make_table(self._configuration.document)
+            self._route_by_prefix = map_routes_by_prefix(self._configuration.document)
 
 
-def make_table(document: Document) -> Table:
+def map_routes_by_prefix(document: Document) -> Table:
     """Return the routes of a document by host and prefix."""
     return {(one["host"], one["prefix"]): one for one in document.get("routes", {}).values()}
 
--- a/cranberrywall/forwarding/_streams.py
+++ b/cranberrywall/forwarding/_streams.py
@@ -4,7 +4,7 @@
 
 from cranberrywall.errors import Refusal
 from cranberrywall.forwarding._attempts import Attempts, note_head
-from cranberrywall.forwarding._calls import WholeAnswer
+from cranberrywall.forwarding._calls import CompleteAnswer
 from cranberrywall.forwarding._client import (
     AttemptFailedError,
     FailureKind,
@@ -15,9 +15,9 @@
 from cranberrywall.forwarding._conclusion import concluding
 from cranberrywall.forwarding._events import Event, EventSplitter
 from cranberrywall.forwarding._interfaces import CallerReply
-from cranberrywall.forwarding._money import Purse
+from cranberrywall.forwarding._money import RequestFunds
 from cranberrywall.observability import log_event
-from cranberrywall.quarantine import RunWatch
+from cranberrywall.quarantine import RunTracker
 from cranberrywall.routing import Outcome, OutcomeKind, Slot
 from cranberrywall.runtime import Clock
 
@@ -27,14 +27,14 @@
 class StreamForwarder:
     """Pass events on as they come; the caller sees one answer with the head of the first target."""
 
-    def __init__(self, client: TargetClient, watch: RunWatch, clock: Clock) -> None:
+    def __init__(self, client: TargetClient, tracker: RunTracker, clock: Clock) -> None:
         self._client = client
-        self._watch = watch
+        self._tracker = tracker
         self._clock = clock
 
     async def run(
-        self, attempts: Attempts, purse: Purse, reply: CallerReply
-    ) -> Result[WholeAnswer | None, Refusal]:
+        self, attempts: Attempts, purse: RequestFunds, reply: CallerReply
+    ) -> Result[CompleteAnswer | None, Refusal]:
         """Return ``None`` once the caller has the whole stream but its end.
 
         A target's answer that is no stream is returned as it is. ``Err`` where there is no
@@ -43,7 +43,7 @@
         last_event = attempts.arrival.last_event
         progress = _Progress(last_event, purse, attempts.plan.tokens_per_event, reply)
         while True:
-            begun = await purse.begin(attempts.left_s())
+            begun = await purse.begin(attempts.remaining_s())
             if isinstance(begun, Err):
                 return Err(attempts.refusal(begun.err_value))
             acquired = await attempts.acquire()
@@ -54,11 +54,11 @@
             except AttemptFailedError as failure:
                 attempts.note_failure(failure)
             else:
-                if failed is None or not (reply.has_begun or attempts.may_go_on()):
+                if failed is None or not (reply.has_started or attempts.may_go_on()):
                     return Ok(failed)
             if not attempts.may_go_on():
                 return Err(attempts.refusal())
-            if reply.has_begun:
+            if reply.has_started:
                 log_event(
                     "INFO",
                     "stream_resumes",
@@ -67,22 +67,22 @@
                 )
 
     async def _attempt(
-        self, attempts: Attempts, slot: Slot, purse: Purse, progress: "_Progress"
-    ) -> WholeAnswer | None:
+        self, attempts: Attempts, slot: Slot, purse: RequestFunds, progress: "_Progress"
+    ) -> CompleteAnswer | None:
         """Return ``None`` at the stream's end, or the target's own failure."""
         attempt = attempts.begin(slot, progress.last_event)
         started_at = self._clock.now()
         may_run_again = attempts.plan.repeats.may_run_again
-        with concluding(slot, attempt, purse, self._watch, self._clock) as conclusion:
+        with concluding(slot, attempt, purse, self._tracker, self._clock) as conclusion:
             async with (
-                conclusion.limit(attempt.left_s),
+                conclusion.limit(attempt.remaining_s),
                 self._client.open(slot, attempt, may_run_again) as answer,
             ):
                 conclusion.answered(self._clock.now())
                 note_head(slot, answer.head, attempt.arrival.request_id, self._clock.now())
                 if answer.status >= FIRST_FAILURE_STATUS:
                     attempts.may_have_run = True
-                    failed = WholeAnswer(answer.status, answer.headers, await read_whole(answer))
+                    failed = CompleteAnswer(answer.status, answer.headers, await read_whole(answer))
                     conclusion.is_whole(Outcome(OutcomeKind.FAILED_AFTER))
                     return failed
                 await progress.begin(answer)
@@ -104,7 +104,7 @@
             if events and first_s is None:
                 now = self._clock.now()
                 first_s = now - started_at
-                slot.first_token(now)
+                slot.record_first_token(now)
             if events:
                 await progress.pass_on(events)
         if splitter.rest:
@@ -116,7 +116,7 @@
     """Know what the caller has of the stream, over all attempts."""
 
     def __init__(
-        self, last_event: int | None, purse: Purse, tokens_per_event: int, reply: CallerReply
+        self, last_event: int | None, purse: RequestFunds, tokens_per_event: int, reply: CallerReply
     ) -> None:
         self.last_event = last_event
         self.events = 0
@@ -126,7 +126,7 @@
 
     async def begin(self, answer: TargetAnswer) -> None:
         """Send the head, unless an earlier target's was sent."""
-        if not self._reply.has_begun:
+        if not self._reply.has_started:
             await self._reply.begin(answer.status, answer.headers)
 
     async def pass_on(self, events: list[Event]) -> None:
--- a/cranberrywall/hosts/__init__.py
+++ b/cranberrywall/hosts/__init__.py
@@ -3,14 +3,14 @@
 from cranberrywall.hosts._drain import DRAIN, DrainReply, DrainRequest, register_drain
 from cranberrywall.hosts._dump import DUMP, DumpReply, DumpRequest, register_dump
 from cranberrywall.hosts._interfaces import (
+    Gossip,
     HostState,
     HostView,
     LiveMembership,
     Membership,
-    Spread,
 )
 from cranberrywall.hosts._membership import make_membership
-from cranberrywall.hosts._pace import Pace, pace_of
+from cranberrywall.hosts._pace import MembershipTimings, membership_timings
 from cranberrywall.hosts._static import make_static_membership
 from cranberrywall.hosts.messages import Item, Urgency
 
@@ -26,12 +26,12 @@
     "Item",
     "LiveMembership",
     "Membership",
-    "Pace",
-    "Spread",
+    "MembershipTimings",
+    "Gossip",
     "Urgency",
     "make_membership",
     "make_static_membership",
-    "pace_of",
+    "membership_timings",
     "register_drain",
     "register_dump",
 ]
--- a/cranberrywall/hosts/_interfaces.py
+++ b/cranberrywall/hosts/_interfaces.py
@@ -44,7 +44,7 @@
         ...
 
 
-class Spread(Protocol):
+class Gossip(Protocol):
     """Pass facts on among the entry hosts, within a budget of bytes."""
 
     def subscribe(self, topic: str, receive: Callable[[Item], None]) -> None:
@@ -67,7 +67,7 @@
     """Take part in the membership; the task of one entry host."""
 
     @property
-    def spread(self) -> Spread:
+    def gossip(self) -> Gossip:
         """Return what passes other packages' facts on."""
         ...
 
--- a/cranberrywall/hosts/_membership.py
+++ b/cranberrywall/hosts/_membership.py
@@ -17,8 +17,8 @@
     HostVersion,
     load_item,
 )
-from cranberrywall.hosts._interfaces import HostState, HostView, LiveMembership, Spread
-from cranberrywall.hosts._pace import Pace
+from cranberrywall.hosts._interfaces import Gossip, HostState, HostView, LiveMembership
+from cranberrywall.hosts._pace import MembershipTimings
 from cranberrywall.hosts._prober import Prober
 from cranberrywall.hosts._ring import Rings
 from cranberrywall.hosts._roster import Roster
@@ -61,7 +61,7 @@
     caller: Caller,
     clock: Clock,
     random: Random,
-    pace: Pace | None = None,
+    pace: MembershipTimings | None = None,
 ) -> LiveMembership:
     """Return the membership of the entry host ``identity``; it answers calls on ``server``.
 
@@ -71,7 +71,7 @@
     record = HostRecord(identity.place, links, http)
     version = HostVersion(identity.incarnation, leaving=0, number=1, verdict=ALIVE)
     own = Entry(identity.host, record, version)
-    membership = _Membership(own, seeds, caller, clock, random, pace or Pace())
+    membership = _Membership(own, seeds, caller, clock, random, pace or MembershipTimings())
     membership.register(server)
     return membership
 
@@ -84,7 +84,7 @@
         caller: Caller,
         clock: Clock,
         random: Random,
-        pace: Pace,
+        pace: MembershipTimings,
     ) -> None:
         place = own.record.place
         self._host = own.host
@@ -118,7 +118,7 @@
         self._alive_at = float("-inf")
 
     @property
-    def spread(self) -> Spread:
+    def gossip(self) -> Gossip:
         return self._spreading
 
     @property
--- a/cranberrywall/hosts/_pace.py
+++ b/cranberrywall/hosts/_pace.py
@@ -5,7 +5,7 @@
 from cranberrywall.settings import Settings, seconds
 
 
-class Pace(NamedTuple):
+class MembershipTimings(NamedTuple):
     """Pace membership; times in seconds, sizes in bytes.
 
     A host sends one probe a ``period`` (a delegate two). A direct probe that is not answered
@@ -38,10 +38,10 @@
     flap_hold_longest: float = 60.0
 
 
-def pace_of(settings: Settings) -> Pace:
+def membership_timings(settings: Settings) -> MembershipTimings:
     """Return the pace of a process's settings, as ``load_settings`` gave them."""
     times = settings["membership"]
-    return Pace(
+    return MembershipTimings(
         period=seconds(times["period"]),
         probe_timeout=seconds(times["probe_timeout"]),
         suspicion=seconds(times["suspicion"]),
--- a/cranberrywall/hosts/_prober.py
+++ b/cranberrywall/hosts/_prober.py
@@ -8,7 +8,7 @@
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.hosts._entries import SUSPECT, Entry
 from cranberrywall.hosts._interfaces import HostState
-from cranberrywall.hosts._pace import Pace
+from cranberrywall.hosts._pace import MembershipTimings
 from cranberrywall.hosts._roster import Roster
 from cranberrywall.hosts._spread import Spreading
 from cranberrywall.hosts._table import Table
@@ -33,7 +33,7 @@
         caller: Caller,
         clock: Clock,
         random: Random,
-        pace: Pace,
+        pace: MembershipTimings,
         on_answer: Callable[[Entry, ProbeReply], None],
     ) -> None:
         self._roster = roster
--- a/cranberrywall/hosts/_roster.py
+++ b/cranberrywall/hosts/_roster.py
@@ -16,7 +16,7 @@
     read_load,
 )
 from cranberrywall.hosts._interfaces import HostState, HostView
-from cranberrywall.hosts._pace import Pace
+from cranberrywall.hosts._pace import MembershipTimings
 from cranberrywall.hosts._ring import Rings
 from cranberrywall.hosts._table import Table
 from cranberrywall.hosts.messages import Item
@@ -27,7 +27,7 @@
 class Roster:
     """Hold an entry for each host, and judge by all of them."""
 
-    def __init__(self, own: Entry, table: Table, pace: Pace) -> None:
+    def __init__(self, own: Entry, table: Table, pace: MembershipTimings) -> None:
         self.own = own
         self._table = table
         self._pace = pace
--- a/cranberrywall/hosts/_spread.py
+++ b/cranberrywall/hosts/_spread.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Coroutine, Iterable, Sequence
 from typing import Any, NamedTuple
 
-from cranberrywall.hosts._pace import Pace
+from cranberrywall.hosts._pace import MembershipTimings
 from cranberrywall.hosts._table import Table
 from cranberrywall.hosts.messages import PUSH, Item, PushRequest, Urgency
 from cranberrywall.links import Caller
@@ -45,14 +45,14 @@
 
 
 class Spreading:
-    """Publish items and pass on those of others; it implements ``Spread``."""
+    """Publish items and pass on those of others; it implements ``Gossip``."""
 
     def __init__(
         self,
         table: Table,
         caller: Caller,
         clock: Clock,
-        pace: Pace,
+        pace: MembershipTimings,
         contacts: Callable[[], Sequence[Contact]],
     ) -> None:
         self._table = table
--- a/cranberrywall/hosts/_sync.py
+++ b/cranberrywall/hosts/_sync.py
@@ -6,7 +6,7 @@
 from result import Ok, Result
 
 from cranberrywall.errors import Refusal
-from cranberrywall.hosts._pace import Pace
+from cranberrywall.hosts._pace import MembershipTimings
 from cranberrywall.hosts._spread import Contact, Spreading
 from cranberrywall.hosts._table import Table
 from cranberrywall.hosts.messages import SYNC, Item, ProbeReply, SyncReply, SyncRequest
@@ -27,7 +27,7 @@
         spreading: Spreading,
         caller: Caller,
         clock: Clock,
-        pace: Pace,
+        pace: MembershipTimings,
     ) -> None:
         self._host = host
         self._place = place
--- a/cranberrywall/platform/_arrivals.py
+++ b/cranberrywall/platform/_arrivals.py
@@ -47,7 +47,7 @@
             body=body,
             key=_read_key(value_by_name),
             at=now,
-            patience_s=None if deadline_ms is None else deadline_ms / 1000.0,
+            max_wait_s=None if deadline_ms is None else deadline_ms / 1000.0,
             last_event=last_event.ok_value,
             generation=generation.ok_value,
         )
--- a/cranberrywall/platform/_control.py
+++ b/cranberrywall/platform/_control.py
@@ -28,8 +28,8 @@
     def __init__(
         self, program: ControlProgram, region_by_place: dict[str, str], clock: Clock
     ) -> None:
-        self._configuration = ConfigurationClient(program.ties.client, PUBLISH_TIMEOUT_S)
-        self._relay = program.ties.relay
+        self._configuration = ConfigurationClient(program.connections.client, PUBLISH_TIMEOUT_S)
+        self._relay = program.connections.relay
         self._region_by_place = region_by_place
         self._clock = clock
 
--- a/cranberrywall/platform/_dialect.py
+++ b/cranberrywall/platform/_dialect.py
@@ -17,7 +17,7 @@
     def request_headers(self, attempt: Attempt) -> Headers:
         """Return the caller's headers with those that the system sets itself."""
         headers = list(attempt.arrival.headers)
-        headers.append((names.DEADLINE_MS, str(max(1, int(attempt.left_s * 1000)))))
+        headers.append((names.DEADLINE_MS, str(max(1, int(attempt.remaining_s * 1000)))))
         headers.append((names.EXPECT_INSTANCE, attempt.target_id))
         if attempt.workspace:
             headers.append((names.TENANT, attempt.workspace))
@@ -32,7 +32,7 @@
         return TargetHead(
             request_id=value_by_name.get(names.REQUEST_ID.lower(), ""),
             not_run=names.NOT_RUN.lower() in value_by_name,
-            is_other=status == _MISDIRECTED,
+            is_wrong_target=status == _MISDIRECTED,
             load=_read_load(value_by_name.get(names.SERVER_LOAD.lower(), "")),
             rate=read_rate(_values(headers, names.SERVER_LIMIT)),
             backoff=(
--- a/cranberrywall/platform/_front.py
+++ b/cranberrywall/platform/_front.py
@@ -7,7 +7,7 @@
 from aiohttp.http import RawRequestMessage
 from result import Err
 
-from cranberrywall.entry import FrontParts
+from cranberrywall.entry import FrontendContext
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.forwarding import Forwarder
 from cranberrywall.observability import log_event
@@ -35,12 +35,12 @@
 
 
 class PlatformFront:
-    """Hold the listeners of one entry host; it implements ``entry.Front``."""
+    """Hold the listeners of one entry host; it implements ``entry.Frontend``."""
 
     def __init__(self, boot: Boot, clock: Clock) -> None:
         self._boot = boot
         self._clock = clock
-        self._parts: FrontParts | None = None
+        self._parts: FrontendContext | None = None
         self._forwarder: Forwarder | None = None
         self._draining_since: float | None = None
         self._last_arrival_at = float("-inf")
@@ -68,7 +68,7 @@
             if address:
                 await self._bind(web.AppRunner(app, access_log=None), address)
 
-    async def serve(self, parts: FrontParts) -> None:
+    async def serve(self, parts: FrontendContext) -> None:
         """Begin to forward."""
         self._forwarder = Forwarder(
             parts.configuration,
@@ -86,7 +86,7 @@
         """Be ready and named no more, and ask callers to close their connections."""
         self._draining_since = self._clock.now()
 
-    def quiet_for(self, now: float) -> float:
+    def idle_duration_s(self, now: float) -> float:
         """Return for how long no request has arrived, in seconds."""
         return now - self._last_arrival_at
 
@@ -153,7 +153,7 @@
             self.running -= 1
 
     async def _forward(
-        self, request: web.BaseRequest, parts: FrontParts, forwarder: Forwarder, now: float
+        self, request: web.BaseRequest, parts: FrontendContext, forwarder: Forwarder, now: float
     ) -> web.StreamResponse:
         try:
             body = await request.read()
--- a/cranberrywall/platform/_front_program.py
+++ b/cranberrywall/platform/_front_program.py
@@ -63,9 +63,9 @@
     # requests are spread over the hosts.
     return RetryLimits(
         share=RETRIES_KEPT_BACK * boot.retry_share,
-        saved=RETRIES_KEPT_BACK * boot.retry_slack,
-        every_s=float("inf"),
-        sharers=LEAST_SHARERS,
+        max_saved=RETRIES_KEPT_BACK * boot.retry_slack,
+        interval_s=float("inf"),
+        min_hosts=LEAST_SHARERS,
     )
 
 
--- a/cranberrywall/platform/_replies.py
+++ b/cranberrywall/platform/_replies.py
@@ -18,7 +18,7 @@
         self._response: web.StreamResponse | None = None
 
     @property
-    def has_begun(self) -> bool:
+    def has_started(self) -> bool:
         """Say whether the caller has got the head of an answer."""
         return self._response is not None
 
@@ -49,7 +49,7 @@
         assert self._response is not None
         await self._response.write_eof()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Close the connection; what was written still goes out, and no end mark behind it."""
         if self._request.transport is not None:
             self._request.transport.close()
--- a/cranberrywall/quarantine/__init__.py
+++ b/cranberrywall/quarantine/__init__.py
@@ -10,7 +10,7 @@
 from cranberrywall.quarantine._quarantine import Quarantine
 from cranberrywall.quarantine._runs import Run, RunEnd
 from cranberrywall.quarantine._stopping import stoppable
-from cranberrywall.quarantine._watch import RunWatch
+from cranberrywall.quarantine._watch import RunTracker
 
 __all__ = [
     "QUARANTINE",
@@ -20,7 +20,7 @@
     "QuarantineRequest",
     "Run",
     "RunEnd",
-    "RunWatch",
+    "RunTracker",
     "fingerprint_of",
     "register_quarantine",
     "stoppable",
--- a/cranberrywall/quarantine/_decisions.py
+++ b/cranberrywall/quarantine/_decisions.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from cranberrywall.hosts import Item, Spread, Urgency
+from cranberrywall.hosts import Gossip, Item, Urgency
 from cranberrywall.observability import log_event
 from cranberrywall.quarantine._fingerprint import Fingerprint
 from cranberrywall.quarantine._items import decode_item
@@ -49,18 +49,18 @@
 
     def __init__(
         self,
-        spread: Spread,
+        gossip: Gossip,
         clock: Clock,
         on_held: Callable[[Fingerprint], None],
         on_free: Callable[[Fingerprint], None],
     ) -> None:
         self.held_by_fingerprint: dict[Fingerprint, Held] = {}
-        self._spread = spread
+        self._spread = gossip
         self._clock = clock
         self._on_held = on_held
         self._on_free = on_free
         self._number_by_fingerprint: dict[Fingerprint, int] = {}
-        spread.subscribe(DECISIONS_TOPIC, self._take)
+        gossip.subscribe(DECISIONS_TOPIC, self._take)
 
     def held(self, fingerprint: Fingerprint, now: float) -> Held | None:
         """Return what holds a request back now."""
--- a/cranberrywall/quarantine/_endings.py
+++ b/cranberrywall/quarantine/_endings.py
@@ -14,7 +14,7 @@
 from cranberrywall.observability import log_event
 from cranberrywall.quarantine._runs import REMEMBERED_S
 from cranberrywall.runtime import Clock, Network
-from cranberrywall.targets import Announcement, Change, Targets, TargetStart
+from cranberrywall.targets import Announcement, Change, TargetIncarnation, Targets
 
 LOOK_AFTER_S = (0.0, 0.03, 0.2, 1.0)
 """When the address of a target that lost connections is tried, in seconds after the one before.
@@ -37,7 +37,7 @@
 class Ending(NamedTuple):
     """Report that a target ended; ``at`` is when its last connection here was lost."""
 
-    start: TargetStart
+    start: TargetIncarnation
     at: float
     word: Word
 
@@ -58,7 +58,7 @@
         targets: Targets,
         network: Network,
         clock: Clock,
-        is_at_work: Callable[[TargetStart], bool],
+        is_at_work: Callable[[TargetIncarnation], bool],
         on_ending: OnEnding,
     ) -> None:
         """``is_at_work`` says whether a run of this host goes on at a target."""
@@ -67,17 +67,17 @@
         self._network = network
         self._clock = clock
         self._on_ending = on_ending
-        self._lost_by_start: dict[TargetStart, _Lost] = {}
-        self._looked_at: set[TargetStart] = set()
+        self._lost_by_incarnation: dict[TargetIncarnation, _Lost] = {}
+        self._looked_at: set[TargetIncarnation] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         targets.subscribe(self._hear)
 
-    def lost_connection(self, start: TargetStart, url: str, now: float) -> None:
+    def lost_connection(self, start: TargetIncarnation, url: str, now: float) -> None:
         """Look into a target that lost a connection; once for all that break together."""
         self._forget_old(now)
         if not self._is_in_use(start):
             return
-        self._lost_by_start[start] = _Lost(url, now)
+        self._lost_by_incarnation[start] = _Lost(url, now)
         if start not in self._looked_at:
             self._looked_at.add(start)
             self._spawn(self._look(start, url))
@@ -87,12 +87,12 @@
         for task in self._tasks:
             task.cancel()
 
-    async def _look(self, start: TargetStart, url: str) -> None:
+    async def _look(self, start: TargetIncarnation, url: str) -> None:
         try:
             for pause_s in LOOK_AFTER_S:
                 await self._clock.sleep(pause_s)
                 is_refused = await self._is_refused(url)
-                if start not in self._lost_by_start:
+                if start not in self._lost_by_incarnation:
                     return
                 # A target that has too many connections may refuse one and go on with the rest.
                 # One that ended leaves no run going on, or only some whose loss is on its way.
@@ -116,11 +116,11 @@
     def _hear(self, announcement: Announcement, change: Change, now: float) -> None:
         """Learn from an announcement that another start stands where a target was."""
         if announcement.leaving:
-            self._lost_by_start.pop(_start_of(announcement), None)
+            self._lost_by_incarnation.pop(_start_of(announcement), None)
             return
         if change not in (Change.JOINED, Change.CHANGED):
             return
-        for start, lost in list(self._lost_by_start.items()):
+        for start, lost in list(self._lost_by_incarnation.items()):
             is_later_start = (
                 start.target == announcement.target and start.incarnation < announcement.incarnation
             )
@@ -128,19 +128,23 @@
             if now - lost.at < REMEMBERED_S and (is_later_start or takes_address):
                 self._report(start, Word.RESTARTED)
 
-    def _report(self, start: TargetStart, word: Word) -> None:
-        lost = self._lost_by_start.pop(start)
+    def _report(self, start: TargetIncarnation, word: Word) -> None:
+        lost = self._lost_by_incarnation.pop(start)
         self._on_ending(Ending(start, lost.at, word), self._clock.now())
 
-    def _is_in_use(self, start: TargetStart) -> bool:
+    def _is_in_use(self, start: TargetIncarnation) -> bool:
         # One that left in good order, or said that it will, ends its last connections so.
         known = self._targets.by_id.get(start.target)
         return known is not None and known.announcement.incarnation == start.incarnation
 
     def _forget_old(self, now: float) -> None:
-        old = [start for start, lost in self._lost_by_start.items() if now - lost.at > REMEMBERED_S]
+        old = [
+            start
+            for start, lost in self._lost_by_incarnation.items()
+            if now - lost.at > REMEMBERED_S
+        ]
         for start in old:
-            del self._lost_by_start[start]
+            del self._lost_by_incarnation[start]
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -153,8 +157,8 @@
             log_event("ERROR", "target_look_failed", task.exception())
 
 
-def _start_of(announcement: Announcement) -> TargetStart:
-    return TargetStart(announcement.target, announcement.incarnation)
+def _start_of(announcement: Announcement) -> TargetIncarnation:
+    return TargetIncarnation(announcement.target, announcement.incarnation)
 
 
 def _address_of(url: str) -> str:
--- a/cranberrywall/quarantine/_quarantine.py
+++ b/cranberrywall/quarantine/_quarantine.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from cranberrywall.errors import ErrorKind, Refusal
-from cranberrywall.hosts import Item, Spread, Urgency
+from cranberrywall.hosts import Gossip, Item, Urgency
 from cranberrywall.observability import Metrics, log_event
 from cranberrywall.quarantine._decisions import Decisions, Held
 from cranberrywall.quarantine._endings import Ending, Word
@@ -24,7 +24,7 @@
     chances,
 )
 from cranberrywall.quarantine._runs import Run
-from cranberrywall.quarantine._watch import RunWatch
+from cranberrywall.quarantine._watch import RunTracker
 from cranberrywall.quarantine._weights import weight_of
 from cranberrywall.quarantine.messages import (
     QUARANTINE_CODEC,
@@ -34,7 +34,7 @@
     Suspicion,
 )
 from cranberrywall.runtime import Clock
-from cranberrywall.targets import TargetStart
+from cranberrywall.targets import TargetIncarnation
 
 ENDINGS_TOPIC = "target-ended"
 
@@ -53,20 +53,20 @@
 class Quarantine:
     """Decide which requests are refused; one for each entry host."""
 
-    def __init__(self, host: str, watch: RunWatch, spread: Spread, clock: Clock) -> None:
-        self.watch = watch
+    def __init__(self, host: str, tracker: RunTracker, gossip: Gossip, clock: Clock) -> None:
+        self.tracker = tracker
         self._host = host
-        self._spread = spread
+        self._spread = gossip
         self._clock = clock
         self._evidence = Evidence()
-        self._decisions = Decisions(spread, clock, self._stop, self._forget)
+        self._decisions = Decisions(gossip, clock, self._stop, self._forget)
         self._doubted: frozenset[Fingerprint] = frozenset()
         self._weighing: asyncio.Task[None] | None = None
         self._ended = {str(word): 0 for word in Word}
         self._refused = {"held": 0, "doubted": 0}
-        watch.on_ended = self._report
-        watch.on_whole = self._clear
-        spread.subscribe(ENDINGS_TOPIC, self._take_report)
+        tracker.on_ended = self._report
+        tracker.on_whole = self._clear
+        gossip.subscribe(ENDINGS_TOPIC, self._take_report)
 
     def check(self, fingerprint: Fingerprint, now: float) -> Refusal | None:
         """Return why a request must not go to a target now; ``None`` where it may."""
@@ -74,7 +74,7 @@
         if held is not None:
             self._refused["held"] += 1
             return _held_refusal(held, now)
-        if fingerprint in self._doubted and self.watch.runs.under_way_of(fingerprint):
+        if fingerprint in self._doubted and self.tracker.runs.under_way_of(fingerprint):
             self._refused["doubted"] += 1
             return _doubted_refusal(fingerprint)
         return None
@@ -98,7 +98,7 @@
 
     def close(self) -> None:
         """Watch and weigh no more."""
-        self.watch.close()
+        self.tracker.close()
         if self._weighing is not None:
             self._weighing.cancel()
 
@@ -142,7 +142,9 @@
         self._ended[str(ending.word)] += 1
         self._publish_report(ending.start, runs, ending.at)
 
-    def _publish_report(self, start: TargetStart, runs: Sequence[Run], ended_at: float) -> None:
+    def _publish_report(
+        self, start: TargetIncarnation, runs: Sequence[Run], ended_at: float
+    ) -> None:
         weight_by_fingerprint: dict[Fingerprint, float] = {}
         for run in runs:
             weight = max(weight_of(run, ended_at), weight_by_fingerprint.get(run.fingerprint, 0.0))
@@ -163,24 +165,24 @@
         if report is None:
             return
         now = self._clock.now()
-        start = TargetStart(report.target, report.incarnation)
+        start = TargetIncarnation(report.target, report.incarnation)
         is_news = not self._evidence.knows(start)
         weights = {one.fingerprint: min(100, one.percent) / 100 for one in report.suspicions}
         self._publish_gone(self._evidence.add(start, weights, now))
         if is_news:
             # Each host would find out by failures of its own otherwise, and send requests there
             # until then.
-            self.watch.forget_target(start, now)
+            self.tracker.forget_target(start, now)
         if report.host == self._host:
             self._evidence.tell(start)
         else:
             self._add_own(start, now)
         self._weigh_soon()
 
-    def _add_own(self, start: TargetStart, now: float) -> None:
+    def _add_own(self, start: TargetIncarnation, now: float) -> None:
         """Report this host's runs too: its connections may not have shown the target's end."""
-        ended_at = self.watch.runs.broke_at(start) or now
-        runs = self.watch.runs.under_way(start, ended_at)
+        ended_at = self.tracker.runs.broke_at(start) or now
+        runs = self.tracker.runs.under_way(start, ended_at)
         if runs and self._evidence.tell(start):
             self._publish_report(start, runs, ended_at)
 
@@ -215,7 +217,7 @@
         log_event(
             "INFO",
             "request_doubted",
-            request=self.watch.runs.name_of(fingerprint),
+            request=self.tracker.runs.name_of(fingerprint),
             fingerprint=fingerprint.hex(),
             chance=chance,
             ended=len(self._evidence.starts_of(fingerprint)),
@@ -223,14 +225,14 @@
 
     def _decide(self, fingerprint: Fingerprint, state: DecisionState, by: str) -> None:
         targets = tuple(start.target for start in self._evidence.starts_of(fingerprint))
-        request_id = self.watch.runs.name_of(fingerprint)
+        request_id = self.tracker.runs.name_of(fingerprint)
         self._decisions.decide(Decision(fingerprint, state, by, request_id, targets))
 
     def _stop(self, fingerprint: Fingerprint) -> None:
         """End what this host has of a request that is held from now on: it spares the targets
         at which it waits its turn."""
         self._doubted -= {fingerprint}
-        stopped = self.watch.runs.stop(fingerprint)
+        stopped = self.tracker.runs.stop(fingerprint)
         if stopped:
             log_event("INFO", "held_runs_stopped", fingerprint=fingerprint.hex(), runs=stopped)
 
@@ -239,14 +241,14 @@
         self._doubted -= {fingerprint}
         self._evidence.clear(fingerprint)
 
-    def _publish_gone(self, starts: Sequence[TargetStart]) -> None:
+    def _publish_gone(self, starts: Sequence[TargetIncarnation]) -> None:
         """Let this host's reports of old ends go on all hosts; each lets its own go."""
         for start in starts:
             key = _ending_key(start, self._host)
             self._spread.publish(Item(ENDINGS_TOPIC, key, (2,), b""))
 
 
-def _ending_key(start: TargetStart, host: str) -> str:
+def _ending_key(start: TargetIncarnation, host: str) -> str:
     return f"{start.target}/{start.incarnation}/{host}"
 
 
--- a/cranberrywall/quarantine/_runs.py
+++ b/cranberrywall/quarantine/_runs.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 
 from cranberrywall.quarantine._fingerprint import Fingerprint
-from cranberrywall.targets import TargetStart
+from cranberrywall.targets import TargetIncarnation
 
 REMEMBERED_S = 12.0
 """A run that came to no answer is remembered this long, in seconds: that its target ended may
@@ -57,7 +57,7 @@
     )
 
     def __init__(
-        self, request_id: str, start: TargetStart, fingerprint: Fingerprint, is_streamed: bool
+        self, request_id: str, start: TargetIncarnation, fingerprint: Fingerprint, is_streamed: bool
     ) -> None:
         self.request_id = request_id
         self.start = start
@@ -78,12 +78,12 @@
     """Hold the runs under way at each start of a target, and those that came to no answer."""
 
     def __init__(self) -> None:
-        self._by_start: dict[TargetStart, set[Run]] = {}
+        self._by_incarnation: dict[TargetIncarnation, set[Run]] = {}
         self._unanswered: dict[Run, None] = {}
 
     def add(self, run: Run) -> None:
         """Take in a run that is sent now."""
-        self._by_start.setdefault(run.start, set()).add(run)
+        self._by_incarnation.setdefault(run.start, set()).add(run)
 
     def finish(self, run: Run, end: RunEnd, now: float) -> None:
         """Note how a run ended; a second call does nothing."""
@@ -97,33 +97,33 @@
         if len(self._unanswered) > MOST_REMEMBERED:
             self._forget(next(iter(self._unanswered)))
 
-    def under_way(self, start: TargetStart, ended_at: float) -> Sequence[Run]:
+    def under_way(self, start: TargetIncarnation, ended_at: float) -> Sequence[Run]:
         """Return the runs that a target may have been at as it ended."""
-        return [run for run in self._by_start.get(start, ()) if _was_under_way(run, ended_at)]
+        return [run for run in self._by_incarnation.get(start, ()) if _was_under_way(run, ended_at)]
 
-    def has_open(self, start: TargetStart) -> bool:
+    def has_open(self, start: TargetIncarnation) -> bool:
         """Say whether a run goes on at a target, as far as this host knows."""
-        return any(run.end is None for run in self._by_start.get(start, ()))
+        return any(run.end is None for run in self._by_incarnation.get(start, ()))
 
-    def broke_at(self, start: TargetStart) -> float | None:
+    def broke_at(self, start: TargetIncarnation) -> float | None:
         """Return when this host last lost a connection to a target; ``None`` where it did not."""
-        runs = self._by_start.get(start, ())
+        runs = self._by_incarnation.get(start, ())
         return max((run.ended_at for run in runs if run.end is RunEnd.BROKEN), default=None)
 
     def under_way_of(self, fingerprint: Fingerprint) -> int:
         """Return how often this host has a request at targets now."""
-        runs = (run for runs in self._by_start.values() for run in runs)
+        runs = (run for runs in self._by_incarnation.values() for run in runs)
         return sum(run.end is None and run.fingerprint == fingerprint for run in runs)
 
     def name_of(self, fingerprint: Fingerprint) -> str:
         """Return an id under which a request came to this host lately; empty if it did not."""
-        runs = (run for runs in self._by_start.values() for run in runs)
+        runs = (run for runs in self._by_incarnation.values() for run in runs)
         return next((run.request_id for run in runs if run.fingerprint == fingerprint), "")
 
     def stop(self, fingerprint: Fingerprint) -> int:
         """End what this host has of a request at targets; return how many runs."""
         stopped = 0
-        for run in [run for runs in self._by_start.values() for run in runs]:
+        for run in [run for runs in self._by_incarnation.values() for run in runs]:
             if run.end is None and run.fingerprint == fingerprint:
                 run.is_stopped = True
                 run.on_stop()
@@ -143,12 +143,12 @@
         self._drop(run)
 
     def _drop(self, run: Run) -> None:
-        runs = self._by_start.get(run.start)
+        runs = self._by_incarnation.get(run.start)
         if runs is None:
             return
         runs.discard(run)
         if not runs:
-            del self._by_start[run.start]
+            del self._by_incarnation[run.start]
 
 
 def _do_nothing() -> None:
--- a/cranberrywall/quarantine/_watch.py
+++ b/cranberrywall/quarantine/_watch.py
@@ -7,13 +7,13 @@
 from cranberrywall.quarantine._fingerprint import Fingerprint
 from cranberrywall.quarantine._runs import Run, RunEnd, Runs
 from cranberrywall.runtime import Clock, Network
-from cranberrywall.targets import Targets, TargetStart
+from cranberrywall.targets import TargetIncarnation, Targets
 
 OnEnded = Callable[[Ending, Sequence[Run], float], None]
 """Take in a target's end, with the runs that it may have been at."""
 
 
-class RunWatch:
+class RunTracker:
     """Hold this host's runs at targets, from the sending to their end."""
 
     def __init__(self, targets: Targets, network: Network, clock: Clock) -> None:
@@ -29,7 +29,7 @@
         """Note that a request goes to a target now."""
         known = self._targets.by_id.get(target_id)
         incarnation = known.announcement.incarnation if known else 0
-        run = Run(request_id, TargetStart(target_id, incarnation), fingerprint, is_streamed)
+        run = Run(request_id, TargetIncarnation(target_id, incarnation), fingerprint, is_streamed)
         self.runs.add(run)
         return run
 
@@ -42,11 +42,11 @@
         elif end is RunEnd.WHOLE and self.on_whole is not None:
             self.on_whole(run)
 
-    def forget_target(self, start: TargetStart, now: float) -> None:
+    def forget_target(self, start: TargetIncarnation, now: float) -> None:
         """Let no request go to a target that ended, until it is heard again."""
         known = self._targets.by_id.get(start.target)
         if known is not None and known.announcement.incarnation == start.incarnation:
-            self._targets.forget(start.target, now)
+            self._targets.discard(start.target, now)
 
     def close(self) -> None:
         """Look into no target any more."""
--- a/cranberrywall/rates/_coordinator.py
+++ b/cranberrywall/rates/_coordinator.py
@@ -10,16 +10,16 @@
 
 from cranberrywall.rates._bucket import Bucket
 from cranberrywall.rates._fairness import Fairness
-from cranberrywall.rates._known import KnownRate, KnownRates
+from cranberrywall.rates._known import RateRecord, RateTable
 from cranberrywall.rates.messages import (
-    AskedTarget,
     Permit,
+    PermitDemand,
     PermitReply,
     PermitRequest,
-    Want,
+    RequestedTarget,
 )
 from cranberrywall.runtime import Clock, Random
-from cranberrywall.targets import TargetStart
+from cranberrywall.targets import TargetIncarnation
 
 MOST_ASKS_PER_S = 250.0
 """Requests for permits a second from hosts whose requests wait, all together, about at most: each
@@ -49,7 +49,7 @@
         self.permits: list[Permit] = []
         self.answered: asyncio.Event = asyncio.Event()
 
-    def wants_left(self) -> list[Want]:
+    def wants_left(self) -> list[PermitDemand]:
         """Return what is wanted still."""
         return [
             want._replace(requests=left)
@@ -68,19 +68,19 @@
     """Hold what is saved up for each target of a group, and who waits."""
 
     def __init__(
-        self, rates: KnownRates, share: Callable[[float], float], clock: Clock, random: Random
+        self, rates: RateTable, share: Callable[[float], float], clock: Clock, random: Random
     ) -> None:
         self._rates = rates
         self._share = share
         self._clock = clock
         self._random = random
-        self._bucket_by_start: dict[TargetStart, Bucket] = {}
-        self._asked_at_by_start: dict[TargetStart, float] = {}
+        self._bucket_by_incarnation: dict[TargetIncarnation, Bucket] = {}
+        self._asked_at_by_incarnation: dict[TargetIncarnation, float] = {}
         self._asked_at_by_host: dict[str, float] = {}
         self._waiting: list[_Ask] = []
         # Requests that were told to wait since their host last said what waits there: without
         # them all that come within a quarter of a second would be told the same short wait.
-        self._promised_by_host: dict[str, list[Want]] = {}
+        self._promised_by_host: dict[str, list[PermitDemand]] = {}
         self._fairness = Fairness(clock.now())
         self._timer: asyncio.TimerHandle | None = None
         self._asks = 0
@@ -105,16 +105,16 @@
         finally:
             self._end(ask)
         reply = self._reply(ask, self._clock.now())
-        if not reply.permits and reply.waits_s and reply.waits_s[0] <= request.patience_s:
+        if not reply.permits and reply.waits_s and reply.waits_s[0] <= request.max_wait_s:
             self._promised_by_host.setdefault(host, []).extend(request.wants)
         return reply
 
     def expire(self, now: float) -> None:
         """Forget hosts and targets that nobody asked for lately."""
-        for start, at in list(self._asked_at_by_start.items()):
+        for start, at in list(self._asked_at_by_incarnation.items()):
             if now - at > BUCKET_KEPT_S:
-                del self._asked_at_by_start[start]
-                self._bucket_by_start.pop(start, None)
+                del self._asked_at_by_incarnation[start]
+                self._bucket_by_incarnation.pop(start, None)
         for host, at in list(self._asked_at_by_host.items()):
             if now - at > ASKING_FOR_S:
                 del self._asked_at_by_host[host]
@@ -122,7 +122,7 @@
 
     def is_idle(self) -> bool:
         """Say whether nothing is held here any more."""
-        return not self._bucket_by_start and not self._waiting
+        return not self._bucket_by_incarnation and not self._waiting
 
     def waiting(self) -> int:
         """Return how many requests wait for a permit, on all hosts that said so."""
@@ -146,30 +146,30 @@
         share = self._share(now)
         for asked in request.targets:
             known = self._rates.known(asked.start)
-            bucket = self._bucket_by_start.get(asked.start)
+            bucket = self._bucket_by_incarnation.get(asked.start)
             if bucket is None:
-                bucket = self._bucket_by_start[asked.start] = Bucket(now)
-            self._asked_at_by_start[asked.start] = now
+                bucket = self._bucket_by_incarnation[asked.start] = Bucket(now)
+            self._asked_at_by_incarnation[asked.start] = now
             bucket.set_rate(_rate(known, asked), share, now)
         for start in request.returned:
-            if start in self._bucket_by_start:
-                self._bucket_by_start[start].give_back(now)
+            if start in self._bucket_by_incarnation:
+                self._bucket_by_incarnation[start].give_back(now)
 
-    def _give(self, now: float, first: Sequence[TargetStart] = ()) -> None:
+    def _give(self, now: float, first: Sequence[TargetIncarnation] = ()) -> None:
         """Give what is saved up to those that wait, and come back when there is more.
 
         The targets that are named ``first`` go first, in the order in which the host that asks
         would choose them: where several have permits left, cached prompts and loads decide.
         """
-        for start in dict.fromkeys((*first, *self._bucket_by_start)):
-            bucket = self._bucket_by_start[start]
+        for start in dict.fromkeys((*first, *self._bucket_by_incarnation)):
+            bucket = self._bucket_by_incarnation[start]
             found = self._next(start, now)
             while found is not None and bucket.take(now):
                 self._give_one(start, found, now)
                 found = self._next(start, now)
         self._call_later(now)
 
-    def _next(self, start: TargetStart, now: float) -> _Next | None:
+    def _next(self, start: TargetIncarnation, now: float) -> _Next | None:
         """Return who has the next permit of a target.
 
         Those that can send nowhere else, and so wait, go before those that ask in passing; then
@@ -189,7 +189,7 @@
                     best, best_order = _Next(ask, index), order
         return best
 
-    def _give_one(self, start: TargetStart, found: _Next, now: float) -> None:
+    def _give_one(self, start: TargetIncarnation, found: _Next, now: float) -> None:
         ask, position = found
         want = ask.request.wants[position]
         ask.left_by_want[position] -= 1
@@ -203,7 +203,7 @@
             self._timer.cancel()
             self._timer = None
         wanted = {start for ask in self._waiting for start in ask.starts if not ask.permits}
-        times = [self._bucket_by_start[start].seconds_to_next(now) for start in wanted]
+        times = [self._bucket_by_incarnation[start].seconds_to_next(now) for start in wanted]
         soonest = min(times, default=float("inf"))
         if soonest < LONGEST_WAIT_S:
             loop = asyncio.get_running_loop()
@@ -217,7 +217,7 @@
         if ask in self._waiting:
             self._waiting.remove(ask)
 
-    def _wants(self) -> list[Want]:
+    def _wants(self) -> list[PermitDemand]:
         said = [
             want for ask in self._waiting if ask.request.wait_s > 0 for want in ask.wants_left()
         ]
@@ -227,26 +227,26 @@
         waiting = self._wants()
         if ask.request.wait_s > 0:
             waiting += ask.wants_left()
-        per_s = sum(self._bucket_by_start[start].per_s for start in ask.starts)
+        per_s = sum(self._bucket_by_incarnation[start].per_s for start in ask.starts)
         waits = tuple(self._expected_wait(want, waiting, per_s, now) for want in ask.request.wants)
         return PermitReply(tuple(ask.permits), waits, self._pause(ask, waiting, now))
 
     def _expected_wait(
-        self, want: Want, waiting: Sequence[Want], per_s: float, now: float
+        self, want: PermitDemand, waiting: Sequence[PermitDemand], per_s: float, now: float
     ) -> float:
         left = per_s * self._fairness.share_left(want.rank, now)
         if not left:
             return LONGEST_WAIT_S
         return min(LONGEST_WAIT_S, (self._fairness.ahead(want, waiting) + 1) / left)
 
-    def _pause(self, ask: _Ask, waiting: Sequence[Want], now: float) -> float:
+    def _pause(self, ask: _Ask, waiting: Sequence[PermitDemand], now: float) -> float:
         """Return how long the host had better not ask, in seconds."""
         if ask.request.wait_s > 0:
             polling = {other.host for other in self._waiting} | self._promised_by_host.keys()
             return max(0.0, len(polling) / MOST_ASKS_PER_S - ask.request.wait_s)
         if ask.permits:
             return 0.0
-        buckets = [self._bucket_by_start[start] for start in ask.starts]
+        buckets = [self._bucket_by_incarnation[start] for start in ask.starts]
         soonest = min((bucket.seconds_to_next(now) for bucket in buckets), default=1.0)
         per_s = max((bucket.per_s for bucket in buckets), default=0.0)
         if waiting or not per_s:
@@ -256,7 +256,7 @@
         return soonest + spread * self._random.random()
 
 
-def _rate(known: KnownRate, asked: AskedTarget) -> float:
+def _rate(known: RateRecord, asked: RequestedTarget) -> float:
     """Return the rate that holds: what was changed last, as far as either host knows."""
     if known.per_s is None and known.number >= asked.number:
         # The need is over, and the asking host is about to hear it.
--- a/cranberrywall/rates/_fairness.py
+++ b/cranberrywall/rates/_fairness.py
@@ -7,7 +7,7 @@
 from math import exp
 from typing import TypeVar
 
-from cranberrywall.rates.messages import Want
+from cranberrywall.rates.messages import PermitDemand
 
 FADE_S = 5.0
 """Permits given are remembered with this time constant, in seconds: a workspace that had more than
@@ -29,19 +29,19 @@
         self._given_by_rank: dict[int, float] = {}
         self._faded_at = now
 
-    def order(self, want: Want, now: float) -> tuple[int, float]:
+    def order(self, want: PermitDemand, now: float) -> tuple[int, float]:
         """Return by what wants are served: the least first."""
         self._fade(now)
         return want.rank, self._given_by_workspace.get(want.workspace, 0.0)
 
-    def gave(self, want: Want, now: float) -> None:
+    def gave(self, want: PermitDemand, now: float) -> None:
         """Note that one permit went to ``want``."""
         self._fade(now)
         given = self._given_by_workspace
         given[want.workspace] = given.get(want.workspace, 0.0) + 1.0
         self._given_by_rank[want.rank] = self._given_by_rank.get(want.rank, 0.0) + 1.0
 
-    def ahead(self, want: Want, waiting: Sequence[Want]) -> int:
+    def ahead(self, want: PermitDemand, waiting: Sequence[PermitDemand]) -> int:
         """Return how many of those ``waiting`` get a permit before one more like ``want``.
 
         Better ranks all do. Of its own rank each other workspace gets one in turn, so that a
--- a/cranberrywall/rates/_known.py
+++ b/cranberrywall/rates/_known.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from cranberrywall.hosts import Item, Spread, Urgency
+from cranberrywall.hosts import Gossip, Item, Urgency
 from cranberrywall.links import MalformedMessageError
 from cranberrywall.observability import EventLimiter, log_event
 from cranberrywall.rates._reading import RateNotice
 from cranberrywall.rates.messages import RATES_CODEC, NamedRate
 from cranberrywall.runtime import Clock
-from cranberrywall.targets import Targets, TargetStart
+from cranberrywall.targets import TargetIncarnation, Targets
 
 RATES_TOPIC = "target-rate"
 
@@ -35,7 +35,7 @@
 _MOST_MILLIS = 10**13
 
 
-class KnownRate(NamedTuple):
+class RateRecord(NamedTuple):
     """Hold the rate that a target named; ``None`` where its need is over.
 
     ``number`` counts the changes. ``host`` heard it, and this one knows it since ``since``.
@@ -47,43 +47,43 @@
     since: float
 
 
-NEVER_NAMED = KnownRate(0, None, "", 0.0)
+NEVER_NAMED = RateRecord(0, None, "", 0.0)
 
 
-class KnownRates:
+class RateTable:
     """Take in what answers say, tell the other hosts, and take in what they tell."""
 
-    def __init__(self, host: str, targets: Targets, spread: Spread, clock: Clock) -> None:
-        self.rate_by_start: dict[TargetStart, float] = {}
+    def __init__(self, host: str, targets: Targets, gossip: Gossip, clock: Clock) -> None:
+        self.rate_by_incarnation: dict[TargetIncarnation, float] = {}
         self._host = host
         self._targets = targets
-        self._spread = spread
+        self._spread = gossip
         self._clock = clock
-        self._known_by_start: dict[TargetStart, KnownRate] = {}
+        self._known_by_incarnation: dict[TargetIncarnation, RateRecord] = {}
         # A change after a rate was forgotten must have a higher number still, or it would be taken
         # for an old one.
-        self._forgotten_by_start: dict[TargetStart, KnownRate] = {}
-        self._absent_since: dict[TargetStart, float] = {}
-        self._listeners: list[Callable[[TargetStart], None]] = []
+        self._forgotten_by_incarnation: dict[TargetIncarnation, RateRecord] = {}
+        self._absent_since: dict[TargetIncarnation, float] = {}
+        self._listeners: list[Callable[[TargetIncarnation], None]] = []
         self._unreadable = EventLimiter(clock.now)
         self.changes = 0
         self.unreadable = 0
-        spread.subscribe(RATES_TOPIC, self._take)
+        gossip.subscribe(RATES_TOPIC, self._take)
 
-    def subscribe(self, listener: Callable[[TargetStart], None]) -> None:
+    def subscribe(self, listener: Callable[[TargetIncarnation], None]) -> None:
         """Call ``listener`` with each start of a target whose rate changed."""
         self._listeners.append(listener)
 
-    def known(self, start: TargetStart) -> KnownRate:
+    def known(self, start: TargetIncarnation) -> RateRecord:
         """Return what is known of a start of a target."""
-        if not self._known_by_start and not self._forgotten_by_start:
+        if not self._known_by_incarnation and not self._forgotten_by_incarnation:
             return NEVER_NAMED
-        found = self._known_by_start.get(start)
-        return found or self._forgotten_by_start.get(start, NEVER_NAMED)
+        found = self._known_by_incarnation.get(start)
+        return found or self._forgotten_by_incarnation.get(start, NEVER_NAMED)
 
-    def heard(
+    def record_response(
         self,
-        start: TargetStart,
+        start: TargetIncarnation,
         notice: RateNotice,
         sent_number: int,
         is_served: bool,
@@ -119,7 +119,7 @@
 
     def expire(self, now: float) -> None:
         """Forget the rates of targets that started again, or are gone; call it once a second."""
-        for start in list(self._known_by_start):
+        for start in list(self._known_by_incarnation):
             target = self._targets.by_id.get(start.target)
             if target is not None and target.announcement.incarnation == start.incarnation:
                 self._absent_since.pop(start, None)
@@ -128,10 +128,10 @@
             started_again = target is not None
             if started_again or now - absent_since >= KEPT_S:
                 self._forget(start)
-        while len(self._forgotten_by_start) > MOST_KNOWN:
-            del self._forgotten_by_start[next(iter(self._forgotten_by_start))]
+        while len(self._forgotten_by_incarnation) > MOST_KNOWN:
+            del self._forgotten_by_incarnation[next(iter(self._forgotten_by_incarnation))]
 
-    def describe(self, start: TargetStart, now: float) -> dict[str, object]:
+    def describe(self, start: TargetIncarnation, now: float) -> dict[str, object]:
         """Return what the state dump shows of a target's rate."""
         known = self.known(start)
         return {
@@ -142,9 +142,12 @@
         }
 
     def _publish(
-        self, start: TargetStart, known: KnownRate, per_s: float | None, request_id: str
+        self, start: TargetIncarnation, known: RateRecord, per_s: float | None, request_id: str
     ) -> None:
-        if start not in self._known_by_start and len(self._known_by_start) >= MOST_KNOWN:
+        if (
+            start not in self._known_by_incarnation
+            and len(self._known_by_incarnation) >= MOST_KNOWN
+        ):
             self._unreadable.log("WARNING", "target_rates_full", "too_many", target=start.target)
             return
         message = NamedRate(start.target, start.incarnation, per_s, self._host, request_id)
@@ -165,20 +168,20 @@
             # A host of another version may say more than this one understands.
             log_event("WARNING", "target_rate_malformed", reason=str(error))
             return
-        start = TargetStart(message.target, message.incarnation)
+        start = TargetIncarnation(message.target, message.incarnation)
         before = self.known(start)
-        known = KnownRate(item.version[0], message.per_s, message.host, self._clock.now())
-        self._known_by_start[start] = known
+        known = RateRecord(item.version[0], message.per_s, message.host, self._clock.now())
+        self._known_by_incarnation[start] = known
         if message.per_s is None:
-            self.rate_by_start.pop(start, None)
+            self.rate_by_incarnation.pop(start, None)
         else:
-            self.rate_by_start[start] = message.per_s
+            self.rate_by_incarnation[start] = message.per_s
         self.changes += 1
         self._log(start, message, known, before)
         self._tell(start)
 
     def _log(
-        self, start: TargetStart, message: NamedRate, known: KnownRate, before: KnownRate
+        self, start: TargetIncarnation, message: NamedRate, known: RateRecord, before: RateRecord
     ) -> None:
         log_event(
             "INFO",
@@ -192,16 +195,16 @@
             number=known.number,
         )
 
-    def _forget(self, start: TargetStart) -> None:
+    def _forget(self, start: TargetIncarnation) -> None:
         version = (self.known(start).number + 1, 0)
         self._spread.publish(Item(RATES_TOPIC, _key(start), version, b""))
 
     def _drop(self, key: str, number: int) -> None:
-        for start in [known for known in self._known_by_start if _key(known) == key]:
-            del self._known_by_start[start]
-            self._forgotten_by_start[start] = KnownRate(number, None, "", self._clock.now())
+        for start in [known for known in self._known_by_incarnation if _key(known) == key]:
+            del self._known_by_incarnation[start]
+            self._forgotten_by_incarnation[start] = RateRecord(number, None, "", self._clock.now())
             self._absent_since.pop(start, None)
-            self.rate_by_start.pop(start, None)
+            self.rate_by_incarnation.pop(start, None)
             log_event(
                 "INFO",
                 "target_rate_forgotten",
@@ -210,12 +213,12 @@
             )
             self._tell(start)
 
-    def _tell(self, start: TargetStart) -> None:
+    def _tell(self, start: TargetIncarnation) -> None:
         for listener in self._listeners:
             listener(start)
 
 
-def _key(start: TargetStart) -> str:
+def _key(start: TargetIncarnation) -> str:
     return f"{start.target}/{start.incarnation}"
 
 
--- a/cranberrywall/rates/_permits.py
+++ b/cranberrywall/rates/_permits.py
@@ -9,7 +9,7 @@
 from cranberrywall.hosts import HostView
 from cranberrywall.links import Caller, Peer, Server
 from cranberrywall.rates._coordinator import Coordinator
-from cranberrywall.rates._known import KnownRates
+from cranberrywall.rates._known import RateTable
 from cranberrywall.rates._ranking import first_host
 from cranberrywall.rates._reach import Reach
 from cranberrywall.rates.messages import PERMITS, PermitReply, PermitRequest
@@ -28,7 +28,7 @@
 milliseconds on who is alive."""
 
 
-class KnownHosts(Protocol):
+class HostTable(Protocol):
     """Know the other entry hosts."""
 
     def alive(self) -> Sequence[HostView]:
@@ -46,8 +46,8 @@
     def __init__(
         self,
         host: str,
-        rates: KnownRates,
-        hosts: KnownHosts,
+        rates: RateTable,
+        hosts: HostTable,
         caller: Caller | None,
         clock: Clock,
         random: Random,
--- a/cranberrywall/rates/_rates.py
+++ b/cranberrywall/rates/_rates.py
@@ -4,19 +4,19 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from cranberrywall.hosts import HostView, Item, LiveMembership, Spread
+from cranberrywall.hosts import Gossip, HostView, Item, LiveMembership
 from cranberrywall.links import Caller, Server
 from cranberrywall.observability import Metrics
-from cranberrywall.rates._known import KnownRates
+from cranberrywall.rates._known import RateTable
 from cranberrywall.rates._permits import Permits
 from cranberrywall.runtime import Clock, Random
-from cranberrywall.targets import Targets, TargetStart
+from cranberrywall.targets import TargetIncarnation, Targets
 
 
 class TargetRates:
     """Know the rates and ask for permits; one for each entry host."""
 
-    def __init__(self, known: KnownRates, permits: Permits) -> None:
+    def __init__(self, known: RateTable, permits: Permits) -> None:
         self.known = known
         self.permits = permits
         self.sent_by_target: Counter[str] = Counter()
@@ -32,9 +32,9 @@
         """Give no more permits."""
         self.permits.close()
 
-    def describe(self, start: TargetStart, now: float) -> dict[str, Any] | None:
+    def describe(self, start: TargetIncarnation, now: float) -> dict[str, Any] | None:
         """Return what operators see of a target's rate; ``None`` where it names none."""
-        if start not in self.known.rate_by_start:
+        if start not in self.known.rate_by_incarnation:
             return None
         sent = self.sent_by_target[start.target]
         return {**self.known.describe(start, now), "sent_from_here": sent}
@@ -42,7 +42,9 @@
     def state(self) -> dict[str, Any]:
         """Return rates and permits for the state dump."""
         return {
-            "named": {start.target: per_s for start, per_s in self.known.rate_by_start.items()},
+            "named": {
+                start.target: per_s for start, per_s in self.known.rate_by_incarnation.items()
+            },
             "refused": dict(self.refused_by_name),
             "unreadable": self.known.unreadable,
             "changes": self.known.changes,
@@ -55,7 +57,7 @@
             "target_rate",
             "Requests a second that a target in need takes from all hosts together.",
             "target",
-            lambda: {start.target: rate for start, rate in self.known.rate_by_start.items()},
+            lambda: {start.target: rate for start, rate in self.known.rate_by_incarnation.items()},
         )
         metrics.counters_of(
             "target_rate_sent",
@@ -76,9 +78,9 @@
             lambda: dict(self.permits.counts),
         )
 
-    def _forget_counts(self, start: TargetStart) -> None:
+    def _forget_counts(self, start: TargetIncarnation) -> None:
         # Counters of targets that are in need no more would pile up over months.
-        if start not in self.known.rate_by_start:
+        if start not in self.known.rate_by_incarnation:
             self.sent_by_target.pop(start.target, None)
 
 
@@ -92,19 +94,19 @@
     random: Random,
 ) -> TargetRates:
     """Return the rates of ``host``; it answers the others' requests for permits on ``server``."""
-    known = KnownRates(host, targets, membership.spread, clock)
+    known = RateTable(host, targets, membership.gossip, clock)
     permits = Permits(host, known, membership, caller, clock, random)
     permits.register(server)
     return TargetRates(known, permits)
 
 
-def make_lone_rates(targets: Targets, clock: Clock, random: Random) -> TargetRates:
+def make_standalone_rates(targets: Targets, clock: Clock, random: Random) -> TargetRates:
     """Return the rates of a host that stands alone."""
-    known = KnownRates("", targets, _LoneSpread(), clock)
+    known = RateTable("", targets, _LocalGossip(), clock)
     return TargetRates(known, Permits("", known, _NoHosts(), None, clock, random))
 
 
-class _LoneSpread(Spread):
+class _LocalGossip(Gossip):
     """Hand items to this host's own receivers."""
 
     def __init__(self) -> None:
--- a/cranberrywall/rates/messages.py
+++ b/cranberrywall/rates/messages.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from cranberrywall.links import MessageCodec, Method
-from cranberrywall.targets import TargetStart
+from cranberrywall.targets import TargetIncarnation
 
 
 class NamedRate(NamedTuple):
@@ -19,18 +19,18 @@
     request_id: str
 
 
-class AskedTarget(NamedTuple):
+class RequestedTarget(NamedTuple):
     """Name a target that a permit may be for, with its rate as the asking host knows it.
 
     ``number`` counts the changes of that rate, so that the newer knowledge holds.
     """
 
-    start: TargetStart
+    start: TargetIncarnation
     number: int
     per_s: float
 
 
-class Want(NamedTuple):
+class PermitDemand(NamedTuple):
     """Ask for permits for some ``requests`` of one rank and one workspace."""
 
     rank: int
@@ -42,23 +42,23 @@
     """Ask for permits to send requests to any of some targets of one group, the best one first.
 
     ``wait_s`` is how long the answer may wait for the first permit; 0 for at once. Requests of an
-    answer at once that gets none wait on the host if a permit is expected within ``patience_s``.
+    answer at once that gets none wait on the host if a permit is expected within ``max_wait_s``.
     ``returned`` are permits that this host has no use for.
     """
 
     kind: str
     name: str
-    targets: tuple[AskedTarget, ...]
-    wants: tuple[Want, ...]
+    targets: tuple[RequestedTarget, ...]
+    wants: tuple[PermitDemand, ...]
     wait_s: float
-    patience_s: float = 0.0
-    returned: tuple[TargetStart, ...] = ()
+    max_wait_s: float = 0.0
+    returned: tuple[TargetIncarnation, ...] = ()
 
 
 class Permit(NamedTuple):
     """Allow one request to be sent to a target; ``rank`` and ``workspace`` are of its want."""
 
-    start: TargetStart
+    start: TargetIncarnation
     rank: int
     workspace: str
 
--- a/cranberrywall/replication/__init__.py
+++ b/cranberrywall/replication/__init__.py
@@ -1,6 +1,6 @@
 """Keep state on several disk hosts by replicated logs."""
 
-from cranberrywall.replication._formation import Founders, founders_of
+from cranberrywall.replication._formation import InitialMembers, initial_members_of
 from cranberrywall.replication._frames import Scan, encode_frame, scan_frames
 from cranberrywall.replication._group import make_group
 from cranberrywall.replication._interfaces import Group, GroupState, Replica, StateMachine
@@ -9,7 +9,7 @@
 from cranberrywall.replication.checks import MemberView, Step
 
 __all__ = [
-    "Founders",
+    "InitialMembers",
     "Group",
     "GroupSettings",
     "GroupState",
@@ -20,7 +20,7 @@
     "StateMachine",
     "Step",
     "encode_frame",
-    "founders_of",
+    "initial_members_of",
     "make_group",
     "rescue_group",
     "scan_frames",
--- a/cranberrywall/replication/_core.py
+++ b/cranberrywall/replication/_core.py
@@ -111,7 +111,7 @@
         member = find_member(self.log.roster, self.leader)
         return member.address if member else ""
 
-    def hears_leader(self, now: float) -> bool:
+    def has_leader_contact(self, now: float) -> bool:
         """Say whether a leader was heard so lately that no election is due."""
         # A clock that went back shows a negative age. It must not hold elections back until
         # it has caught up, so only an age from 0 on counts.
--- a/cranberrywall/replication/_election.py
+++ b/cranberrywall/replication/_election.py
@@ -66,7 +66,7 @@
                 return Ok(VoteReply(core.term, False))
             # While a leader is heard, a candidate is one that was cut off, or was
             # removed; its term would only disturb the others, so it is not taken over.
-            if core.hears_leader(core.clock.now()) and not request.invited:
+            if core.has_leader_contact(core.clock.now()) and not request.invited:
                 return Ok(VoteReply(core.term, False))
             if request.trial:
                 granted = self._may_vote(request) and self._is_as_new(request)
@@ -110,7 +110,7 @@
         if not invited and not await self._collect(term + 1, trial=True):
             return
         async with core.lock:
-            if core.term != term or (core.hears_leader(core.clock.now()) and not invited):
+            if core.term != term or (core.has_leader_contact(core.clock.now()) and not invited):
                 return
             core.role = Role.CANDIDATE
             core.leader = ""
--- a/cranberrywall/replication/_formation.py
+++ b/cranberrywall/replication/_formation.py
@@ -28,7 +28,7 @@
 _FIRST_TERM = 1
 
 
-class Founders(NamedTuple):
+class InitialMembers(NamedTuple):
     """Name the hosts that form a new group by their stream addresses; ``own`` is this host's.
 
     ``may_form`` is false where the group is known to exist: a host with an empty disk then
@@ -40,18 +40,20 @@
     may_form: bool = True
 
 
-def founders_of(address_by_host: Mapping[str, str], this_host: str) -> Founders:
+def initial_members_of(address_by_host: Mapping[str, str], this_host: str) -> InitialMembers:
     """Return the founders of a group whose hosts are known by name, as settings list them.
 
     A host that is added later may stand in no list but its own; it founds nothing.
     """
-    return Founders(tuple(sorted(address_by_host.values())), address_by_host.get(this_host, ""))
+    return InitialMembers(
+        tuple(sorted(address_by_host.values())), address_by_host.get(this_host, "")
+    )
 
 
 class Formation:
     """Form the group out of its founders, or answer the founder that does."""
 
-    def __init__(self, core: Core, founders: Founders) -> None:
+    def __init__(self, core: Core, founders: InitialMembers) -> None:
         self._core = core
         self._own = founders.own
         self._founders = tuple(sorted(founders.addresses))
--- a/cranberrywall/replication/_group.py
+++ b/cranberrywall/replication/_group.py
@@ -14,7 +14,7 @@
 from cranberrywall.replication._election import Elections
 from cranberrywall.replication._files import Opened
 from cranberrywall.replication._following import Following
-from cranberrywall.replication._formation import Formation, Founders
+from cranberrywall.replication._formation import Formation, InitialMembers
 from cranberrywall.replication._interfaces import GroupState, Replica, StateMachine
 from cranberrywall.replication._leadership import Leadership
 from cranberrywall.replication._rosters import describe
@@ -29,7 +29,7 @@
 
 def make_group(
     name: str,
-    founders: Founders,
+    founders: InitialMembers,
     this_host: str,
     state_machine: StateMachine,
     runtime: Runtime,
@@ -62,7 +62,7 @@
         self,
         core: Core,
         state_machine: StateMachine,
-        founders: Founders,
+        founders: InitialMembers,
         server: Server,
     ) -> None:
         self._core = core
@@ -86,9 +86,9 @@
         return self._core.role is Role.LEADER
 
     @property
-    def hears_leader(self) -> bool:
+    def has_leader_contact(self) -> bool:
         core = self._core
-        return bool(core.leader) and core.hears_leader(core.clock.now())
+        return bool(core.leader) and core.has_leader_contact(core.clock.now())
 
     @property
     def failure(self) -> Refusal | None:
@@ -182,7 +182,7 @@
             host=core.host,
             role=str(core.role),
             term=core.term,
-            leader=core.leader if self.hears_leader else "",
+            leader=core.leader if self.has_leader_contact else "",
             disk=core.vote.disk,
             lineage=core.lineage,
             last_index=core.log.last_index,
@@ -283,7 +283,7 @@
             return core.failure
         if self._leadership is not None:
             return Refusal(ErrorKind.NOT_LEADER, "")
-        if core.leader and core.hears_leader(core.clock.now()):
+        if core.leader and core.has_leader_contact(core.clock.now()):
             return Refusal(ErrorKind.NOT_LEADER, core.leader_address())
         remedy = "ask another control host"
         return Refusal(ErrorKind.NOT_CURRENT, "this host hears no leader", remedy=remedy)
--- a/cranberrywall/replication/_interfaces.py
+++ b/cranberrywall/replication/_interfaces.py
@@ -91,7 +91,7 @@
     """Run this host's member of a group."""
 
     @property
-    def hears_leader(self) -> bool:
+    def has_leader_contact(self) -> bool:
         """Say whether this host leads, or heard the leader lately."""
         ...
 
--- a/cranberrywall/requests/__init__.py
+++ b/cranberrywall/requests/__init__.py
@@ -1,13 +1,13 @@
 """Carry each request from its admission to its whole answer, once."""
 
 from cranberrywall.requests._attempts import Attempts
-from cranberrywall.requests._background import Background
+from cranberrywall.requests._background import BackgroundTasks
 from cranberrywall.requests._chat import ChatBody, bound_chat, parse_chat_body
 from cranberrywall.requests._chat_runner import ChatRequest, ChatRunner
 from cranberrywall.requests._chat_runs import ChatRuns, RunLimits
 from cranberrywall.requests._engine import EngineLimits
-from cranberrywall.requests._following import Leader
-from cranberrywall.requests._frames import DONE_FRAME, assemble
+from cranberrywall.requests._following import FollowHandler
+from cranberrywall.requests._frames import DONE_FRAME, assemble_completion
 from cranberrywall.requests._identity import RequestName, fingerprint, name_request
 from cranberrywall.requests._intents import IntentLedger, Intents
 from cranberrywall.requests._metrics import RequestMetrics
@@ -15,7 +15,7 @@
 from cranberrywall.requests._run import Run, RunState
 from cranberrywall.requests._service_calls import ServiceCalls, ServiceLimits
 from cranberrywall.requests._service_client import ServiceAnswer, ServiceClient
-from cranberrywall.requests._service_path import is_repeatable, plain_path
+from cranberrywall.requests._service_path import is_repeatable, normalize_path
 from cranberrywall.requests._service_runner import ServiceRequest, ServiceRunner
 from cranberrywall.requests._witnesses import Witnesses
 from cranberrywall.requests.messages import Owner
@@ -23,7 +23,7 @@
 __all__ = [
     "DONE_FRAME",
     "Attempts",
-    "Background",
+    "BackgroundTasks",
     "ChatBody",
     "ChatRequest",
     "ChatRunner",
@@ -31,7 +31,7 @@
     "EngineLimits",
     "IntentLedger",
     "Intents",
-    "Leader",
+    "FollowHandler",
     "Registry",
     "RequestMetrics",
     "RequestName",
@@ -46,11 +46,11 @@
     "ServiceRunner",
     "Witnesses",
     "Owner",
-    "assemble",
+    "assemble_completion",
     "bound_chat",
     "fingerprint",
     "is_repeatable",
     "name_request",
     "parse_chat_body",
-    "plain_path",
+    "normalize_path",
 ]
--- a/cranberrywall/requests/_attempts.py
+++ b/cranberrywall/requests/_attempts.py
@@ -16,7 +16,7 @@
 from cranberrywall.observability import log_event
 from cranberrywall.quarantine import Quarantine, stoppable
 from cranberrywall.quarantine import Run as WatchedRun
-from cranberrywall.requests._background import Background
+from cranberrywall.requests._background import BackgroundTasks
 from cranberrywall.requests._engine import (
     EngineCall,
     EngineLimits,
@@ -104,7 +104,7 @@
         random: Random,
         metrics: RequestMetrics,
         limits: EngineLimits,
-        background: Background,
+        background: BackgroundTasks,
         quarantine: Quarantine,
     ) -> None:
         self._quarantine = quarantine
@@ -384,7 +384,7 @@
         if self.first_chunk_at is None:
             self.first_chunk_at = self._clock.now()
             if self._slot is not None:
-                self._slot.first_token(self.first_chunk_at)
+                self._slot.record_first_token(self.first_chunk_at)
             if self.watched is not None:
                 # An engine may send the head while the call still waits its turn there.
                 self.watched.answered_at = self.first_chunk_at
--- a/cranberrywall/requests/_background.py
+++ b/cranberrywall/requests/_background.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 
-class Background:
+class BackgroundTasks:
     """Own tasks until they end; the event loop itself holds only weak references."""
 
     def __init__(self) -> None:
--- a/cranberrywall/requests/_chat.py
+++ b/cranberrywall/requests/_chat.py
@@ -48,7 +48,7 @@
 class ChatBody(NamedTuple):
     """Hold a checked body.
 
-    ``passed`` is what goes to the engine as it came; ``max_tokens`` is ``None`` where the
+    ``forwarded_fields`` is what goes to the engine as it came; ``max_tokens`` is ``None`` where the
     caller set no limit.
     """
 
@@ -59,7 +59,7 @@
     max_tokens: int | None
     texts: tuple[str, ...]
     size: InputSize
-    passed: Mapping[str, Any]
+    forwarded_fields: Mapping[str, Any]
 
 
 class Bound(NamedTuple):
@@ -96,7 +96,9 @@
             max_tokens=body.get("max_completion_tokens") or body.get("max_tokens"),
             texts=texts,
             size=_size(values, texts),
-            passed={name: value for name, value in values.items() if name not in _FOR_THIS_HOST},
+            forwarded_fields={
+                name: value for name, value in values.items() if name not in _FOR_THIS_HOST
+            },
         )
     )
 
--- a/cranberrywall/requests/_chat_runner.py
+++ b/cranberrywall/requests/_chat_runner.py
@@ -11,7 +11,7 @@
 from cranberrywall.observability import log_event
 from cranberrywall.quarantine import Quarantine
 from cranberrywall.requests._attempts import AttemptEnd, Attempts, OnAttempt
-from cranberrywall.requests._background import Background
+from cranberrywall.requests._background import BackgroundTasks
 from cranberrywall.requests._chat import Bound, ChatBody
 from cranberrywall.requests._identity import RequestName
 from cranberrywall.requests._metrics import RequestMetrics
@@ -62,7 +62,7 @@
         bounds: InputBounds,
         clock: Clock,
         metrics: RequestMetrics,
-        background: Background,
+        background: BackgroundTasks,
         quarantine: Quarantine,
     ) -> None:
         self._quarantine = quarantine
@@ -120,7 +120,7 @@
             run.fail(refusal, self._clock.now())
             return
         if run.usage is not None:
-            self._bounds.learn(
+            self._bounds.record_usage(
                 request.body.model,
                 request.body.size,
                 request.bound.input_tokens,
@@ -162,7 +162,7 @@
     for one answer.
     """
     values = {
-        **request.body.passed,
+        **request.body.forwarded_fields,
         "stream": True,
         "stream_options": {"include_usage": True},
         "max_tokens": request.bound.output_tokens,
--- a/cranberrywall/requests/_chat_runs.py
+++ b/cranberrywall/requests/_chat_runs.py
@@ -8,7 +8,7 @@
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.links import Caller
 from cranberrywall.observability import log_event
-from cranberrywall.requests._background import Background
+from cranberrywall.requests._background import BackgroundTasks
 from cranberrywall.requests._chat_runner import ChatRequest, ChatRunner
 from cranberrywall.requests._following import follow
 from cranberrywall.requests._intents import other_request
@@ -42,7 +42,7 @@
         clock: Clock,
         metrics: RequestMetrics,
         limits: RunLimits,
-        background: Background,
+        background: BackgroundTasks,
     ) -> None:
         """``registry`` and ``caller`` are ``None`` for a host that stands alone."""
         self._runner = runner
--- a/cranberrywall/requests/_engine.py
+++ b/cranberrywall/requests/_engine.py
@@ -22,7 +22,7 @@
 )
 from cranberrywall.requests._metrics import RequestMetrics
 from cranberrywall.runtime import Clock, Timer, Timers
-from cranberrywall.targets import ABSENT, DecimalField, NoLongerOfferedError, read_decimal_field
+from cranberrywall.targets import ABSENT, DecimalField, TargetWithdrawnError, read_decimal_field
 
 ATTEMPT_HEADER = "X-Attempt-Id"
 RATE_HEADER = "X-Rate-Limit"
@@ -90,7 +90,7 @@
     ``between_chunks_s`` one that fell silent.
     """
 
-    connect_s: float = 1.0
+    connect_timeout_s: float = 1.0
     first_chunk_s: float = 15.0
     between_chunks_s: float = 10.0
     elsewhere_s: float = 2.0
@@ -224,7 +224,7 @@
         except (
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
-            NoLongerOfferedError,
+            TargetWithdrawnError,
         ) as error:
             # Only these come before the first byte.
             return Fault(FaultKind.UNSENT, str(error))
@@ -313,7 +313,7 @@
         )
 
     def _timeout(self) -> aiohttp.ClientTimeout:
-        return aiohttp.ClientTimeout(total=None, sock_connect=self._limits.connect_s)
+        return aiohttp.ClientTimeout(total=None, sock_connect=self._limits.connect_timeout_s)
 
 
 def notice_of(response: aiohttp.ClientResponse) -> TargetNotice:
--- a/cranberrywall/requests/_following.py
+++ b/cranberrywall/requests/_following.py
@@ -15,7 +15,7 @@
 _MOST_FRAMES = 512
 
 
-class Leader:
+class FollowHandler:
     """Answer hosts that follow runs which this host owns."""
 
     def __init__(self, find: Callable[[RunKey], Run | None], clock: Clock) -> None:
--- a/cranberrywall/requests/_frames.py
+++ b/cranberrywall/requests/_frames.py
@@ -118,7 +118,7 @@
 _content_decoder = msgspec.json.Decoder(_Content)
 
 
-def assemble(frames: list[bytes], request_id: str, usage: Usage | None) -> bytes:
+def assemble_completion(frames: list[bytes], request_id: str, usage: Usage | None) -> bytes:
     """Join the frames of a whole stream into the body of an answer that is not streamed."""
     message = _Message()
     finish_reason = None
--- a/cranberrywall/requests/_intents.py
+++ b/cranberrywall/requests/_intents.py
@@ -21,7 +21,7 @@
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.hosts import HostState, Membership
 from cranberrywall.observability import log_event
-from cranberrywall.requests._background import Background
+from cranberrywall.requests._background import BackgroundTasks
 from cranberrywall.requests._identity import RequestName
 from cranberrywall.requests._service_client import ServiceAnswer
 from cranberrywall.runtime import Clock
@@ -77,7 +77,7 @@
         holder: Holder,
         membership: Membership,
         clock: Clock,
-        background: Background,
+        background: BackgroundTasks,
     ) -> None:
         self._ledger = ledger
         self._holder = holder
--- a/cranberrywall/requests/_registry.py
+++ b/cranberrywall/requests/_registry.py
@@ -11,7 +11,7 @@
 from cranberrywall.errors import Refusal
 from cranberrywall.hosts import Membership
 from cranberrywall.links import Caller, Peer, Server
-from cranberrywall.requests._background import Background
+from cranberrywall.requests._background import BackgroundTasks
 from cranberrywall.requests.messages import (
     CLAIM,
     NOTE,
@@ -89,7 +89,7 @@
         membership: Membership,
         caller: Caller,
         clock: Clock,
-        background: Background,
+        background: BackgroundTasks,
     ) -> None:
         self.own = own
         self._membership = membership
