--- a/cranberrywall/requests/_run.py
+++ b/cranberrywall/requests/_run.py
@@ -72,7 +72,7 @@
         self.ended_at = now
         self._wake()
 
-    async def wait_beyond(self, count: int) -> None:
+    async def wait_for_frame(self, count: int) -> None:
         """Return once more than ``count`` frames are released or the run has ended."""
         while self.released <= count and self.state is RunState.RUNNING:
             waiter = asyncio.get_running_loop().create_future()
@@ -83,17 +83,17 @@
                 self._waiters.discard(waiter)
 
     async def wait_beyond_for(self, count: int, seconds: float) -> None:
-        """Wait as ``wait_beyond`` does, and for ``seconds`` at most."""
+        """Wait as ``wait_for_frame`` does, and for ``seconds`` at most."""
         try:
             async with asyncio.timeout(seconds):
-                await self.wait_beyond(count)
+                await self.wait_for_frame(count)
         except TimeoutError:
             return
 
     async def wait_ended(self) -> None:
         """Return once the run has ended."""
         while self.state is RunState.RUNNING:
-            await self.wait_beyond(self.released)
+            await self.wait_for_frame(self.released)
 
     def _wake(self) -> None:
         for waiter in self._waiters:
--- a/cranberrywall/requests/_service_calls.py
+++ b/cranberrywall/requests/_service_calls.py
@@ -7,7 +7,7 @@
 
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.observability import log_event
-from cranberrywall.requests._background import Background
+from cranberrywall.requests._background import BackgroundTasks
 from cranberrywall.requests._identity import RequestName
 from cranberrywall.requests._intents import other_request
 from cranberrywall.requests._kept import KeepLimits, KeptAnswers
@@ -51,7 +51,7 @@
         clock: Clock,
         metrics: RequestMetrics,
         limits: ServiceLimits,
-        background: Background,
+        background: BackgroundTasks,
     ) -> None:
         self._runner = runner
         self._clock = clock
--- a/cranberrywall/requests/_service_client.py
+++ b/cranberrywall/requests/_service_client.py
@@ -16,7 +16,7 @@
     notice_of,
 )
 from cranberrywall.requests._metrics import RequestMetrics
-from cranberrywall.targets import NoLongerOfferedError
+from cranberrywall.targets import TargetWithdrawnError
 
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 _NO_BODY_STATUSES = frozenset({204, 304})
@@ -69,7 +69,7 @@
         session: aiohttp.ClientSession,
         once_session: aiohttp.ClientSession,
         metrics: RequestMetrics,
-        connect_s: float,
+        connect_timeout_s: float,
     ) -> None:
         """Take two sessions; ``once_session`` must not reuse connections.
 
@@ -79,7 +79,7 @@
         self._session = session
         self._once_session = once_session
         self._metrics = metrics
-        self._connect_s = connect_s
+        self._connect_s = connect_timeout_s
 
     async def call(
         self, call: ServiceCall, repeatable: bool, timeout: float, on_notice: OnNotice
@@ -103,7 +103,7 @@
         except (
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
-            NoLongerOfferedError,
+            TargetWithdrawnError,
         ) as error:
             return Fault(FaultKind.UNSENT, str(error))
         except TimeoutError:
@@ -118,8 +118,8 @@
         if echoed is None and response.status in _UNSERVED_STATUSES:
             on_notice(notice_of(response), False)
             return Fault(FaultKind.BUSY, f"the target answered {response.status}")
-        said_unrun = response.headers.get("X-Ran") == "no"
-        if echoed == call.attempt_id and response.status in _UNSERVED_STATUSES and said_unrun:
+        reported_not_run = response.headers.get("X-Ran") == "no"
+        if echoed == call.attempt_id and response.status in _UNSERVED_STATUSES and reported_not_run:
             on_notice(notice_of(response), False)
             return Fault(FaultKind.UNRUN, f"the target answered {response.status}")
         if echoed != call.attempt_id:
--- a/cranberrywall/requests/_service_path.py
+++ b/cranberrywall/requests/_service_path.py
@@ -11,12 +11,12 @@
 _MANY_SLASHES = re.compile("/{2,}")
 
 
-def plain_path(raw_path: str) -> Result[str, Refusal]:
+def normalize_path(raw_path: str) -> Result[str, Refusal]:
     """Decode a path and refuse one that a service could read in two ways.
 
-    >>> plain_path("/renewals//%31").ok_value
+    >>> normalize_path("/renewals//%31").ok_value
     '/renewals/1'
-    >>> plain_path("/a/%2e%2e/renewals").err_value.field
+    >>> normalize_path("/a/%2e%2e/renewals").err_value.field
     'path'
     """
     decoded = unquote(raw_path)
--- a/cranberrywall/requests/_watching.py
+++ b/cranberrywall/requests/_watching.py
@@ -39,13 +39,13 @@
     clock: Clock,
 ) -> Iterator[WatchedAttempt]:
     """Watch an attempt in the block, however it ends."""
-    watch = quarantine.watch
-    run = watch.begin(name.request_id, slot.target_id, fingerprint, is_streamed)
+    tracker = quarantine.tracker
+    run = tracker.begin(name.request_id, slot.target_id, fingerprint, is_streamed)
     watched = WatchedAttempt(run)
     try:
         yield watched
     finally:
-        watch.finish(run, watched.end, slot.url, clock.now())
+        tracker.finish(run, watched.end, slot.url, clock.now())
 
 
 def note_answer(
@@ -53,10 +53,10 @@
 ) -> None:
     """Pass on what an answer's head says of the slot's target."""
     now = clock.now()
-    slot.rate_named(notice.rate, is_served, request_id, now)
-    slot.backoff_asked(notice.backoff, request_id, now)
+    slot.record_rate(notice.rate, is_served, request_id, now)
+    slot.record_backoff(notice.backoff, request_id, now)
     if notice.is_leaving:
-        slot.said_leaving(request_id, now)
+        slot.announced_leaving(request_id, now)
 
 
 def fingerprint_of_request(name: RequestName, content: str) -> Fingerprint:
--- a/cranberrywall/routing/__init__.py
+++ b/cranberrywall/routing/__init__.py
@@ -3,7 +3,7 @@
 from cranberrywall.routing._interfaces import Demand, Outcome, OutcomeKind, Router, Slot
 from cranberrywall.routing._retries import RetryLimits
 from cranberrywall.routing._router import TargetRouter, make_router
-from cranberrywall.routing._spread import TargetSpread, make_target_spread
+from cranberrywall.routing._spread import AnnouncementGossip, make_announcement_gossip
 
 __all__ = [
     "Demand",
@@ -13,7 +13,7 @@
     "Router",
     "Slot",
     "TargetRouter",
-    "TargetSpread",
+    "AnnouncementGossip",
     "make_router",
-    "make_target_spread",
+    "make_announcement_gossip",
 ]
--- a/cranberrywall/routing/_candidates.py
+++ b/cranberrywall/routing/_candidates.py
@@ -13,11 +13,11 @@
 from cranberrywall.targets import (
     TTL_S,
     Announcement,
+    GroupMeans,
     Health,
     Load,
     LoadEstimate,
-    TargetStart,
-    Usual,
+    TargetIncarnation,
 )
 
 SLOWNESS_LEARNING = 0.1
@@ -79,7 +79,7 @@
         retries: RetryBudget | None = None,
     ) -> None:
         self.announcement = announcement
-        self.start = TargetStart(announcement.target, announcement.incarnation)
+        self.start = TargetIncarnation(announcement.target, announcement.incarnation)
         self.distance_s = distance_s
         self.seed = xxhash.xxh64_intdigest(announcement.target.encode())
         self.load = LoadEstimate()
@@ -116,7 +116,7 @@
             return False
         return not adapter or adapter in announcement.adapters
 
-    def busy(self, usual: Usual, now: float) -> float:
+    def busy(self, usual: GroupMeans, now: float) -> float:
         """Return the estimated requests in flight there, of all hosts."""
         return self.load.in_flight + self.load.others(usual, now)
 
@@ -131,11 +131,11 @@
     def has_room(self, claim: Claim, now: float) -> bool:
         """Say whether one more request with this claim may go to the target."""
         health = self.health
-        if health.is_ejected(now) or health.is_silent(now):
+        if health.is_ejected(now) or health.is_unresponsive(now):
             return False
         if health.is_on_trial(now) or claim is Claim.ONLY:
             return self.load.in_flight == 0
-        places = self.limit.places(health.share_of_capacity(now))
+        places = self.limit.places(health.capacity_share(now))
         if claim is Claim.BOUNDED or not places:
             return self.load.bounded < places
         return self.load.in_flight < places + self._extra
--- a/cranberrywall/routing/_choice.py
+++ b/cranberrywall/routing/_choice.py
@@ -8,7 +8,7 @@
 from cranberrywall.routing._interfaces import Demand
 from cranberrywall.routing._waits import WaitModel, Work
 from cranberrywall.runtime import Random
-from cranberrywall.targets import Backoffs, PrefixIndex, Usual
+from cranberrywall.targets import Backoffs, GroupMeans, PrefixIndex
 
 CHOICES = 2
 """Candidates that are drawn by chance; holders of the prompt's prefix come on top."""
@@ -57,7 +57,7 @@
         claim: Claim,
         candidates: Sequence[Candidate],
         candidate_by_id: dict[str, Candidate],
-        usual: Usual,
+        usual: GroupMeans,
         barred: Container[str],
         now: float,
     ) -> Chosen | None:
@@ -72,7 +72,7 @@
         if not drawn:
             return None
         preferred = [candidate_by_id[known] for known in matches if known in candidate_by_id]
-        if demand.home:
+        if demand.affinity_hash:
             self._add_home(demand, candidates, fits, drawn, matches)
         else:
             preferred += _homes(demand, candidates)
@@ -110,7 +110,7 @@
         thousand shared tokens again in a minute instead of 1,595 thousand, as counted in
         their answers.
         """
-        for candidate in _ranked(demand.home, candidates)[:HOMES_TRIED]:
+        for candidate in _ranked(demand.affinity_hash, candidates)[:HOMES_TRIED]:
             fits.add(candidate, drawn)
             if candidate in drawn:
                 matches[candidate.target_id] = len(demand.prefix_hashes)
@@ -148,7 +148,7 @@
         self,
         demand: Demand,
         claim: Claim,
-        usual: Usual,
+        usual: GroupMeans,
         barred: Container[str],
         backoffs: Backoffs,
         now: float,
@@ -165,7 +165,7 @@
         demand = self._demand
         if candidate.target_id in demand.exclude or candidate.target_id in self._barred:
             return
-        if self._backoffs.bars(candidate.start, self._now):
+        if self._backoffs.blocks_requests(candidate.start, self._now):
             return
         if not candidate.serves(demand.version, demand.adapter):
             return
@@ -189,8 +189,8 @@
     return nlargest(HOMES, candidates, key=lambda candidate: _mix(candidate.seed ^ key))
 
 
-def _ranked(home: bytes, candidates: Sequence[Candidate]) -> list[Candidate]:
-    key = int.from_bytes(home[:8], "big")
+def _ranked(affinity_hash: bytes, candidates: Sequence[Candidate]) -> list[Candidate]:
+    key = int.from_bytes(affinity_hash[:8], "big")
     return nlargest(HOMES_TRIED, candidates, key=lambda candidate: _mix(candidate.seed ^ key))
 
 
--- a/cranberrywall/routing/_dispatcher.py
+++ b/cranberrywall/routing/_dispatcher.py
@@ -158,7 +158,7 @@
 
     def refuse_hopeless(self, now: float) -> None:
         """Refuse at once the waiters for whom no target ends its backoff in time."""
-        if not self.pool.backoffs.are_any():
+        if not self.pool.backoffs.has_any():
             return
         opens_at_by_wants: dict[tuple[str, str, frozenset[str]], float | None] = {}
         for waiter in self.queue.all():
--- a/cranberrywall/routing/_interfaces.py
+++ b/cranberrywall/routing/_interfaces.py
@@ -22,11 +22,11 @@
     ``kind`` is ``"engine"`` or ``"service"`` and ``name`` the model or the service.
     ``version`` and ``adapter`` are empty where any will do. ``rank`` is the priority, 0 is
     served first. ``bound_tokens`` is the most that the attempt can cost. ``prefix_hashes``
-    is the chain of the prompt's block hashes, longest prefix last. ``home`` is a hash of what
+    is the chain of the prompt's block hashes, longest prefix last. ``affinity_hash`` is a hash of what
     the prompt shares with others, where that is known: all hosts send such prompts to one
     target, as long as it keeps up. ``exclude`` names the
     targets already tried for this request; ``retry`` is true for each attempt but the
-    first, and draws on the retry budget. ``again`` is true where an attempt before it reached no
+    first, and draws on the retry budget. ``is_resend`` is true where an attempt before it reached no
     target: it neither draws on that budget nor adds to it once more. ``excluded_may_serve`` is
     true where another demand for the same request may go to an excluded target later: with no
     other target it waits for one until its deadline, in place of being refused at once.
@@ -41,10 +41,10 @@
     deadline: float
     bound_tokens: int
     prefix_hashes: tuple[bytes, ...] = ()
-    home: bytes = b""
+    affinity_hash: bytes = b""
     exclude: frozenset[str] = frozenset()
     retry: bool = False
-    again: bool = False
+    is_resend: bool = False
     caller: str = ""
     excluded_may_serve: bool = False
 
@@ -97,26 +97,26 @@
         """Return the model version to ask for; empty where the target named none."""
         ...
 
-    def first_token(self, now: float) -> None:
+    def record_first_token(self, now: float) -> None:
         """Note that the target began to answer; a target that stays silent is avoided."""
         ...
 
-    def loaded(self, running: int, waiting: int, now: float) -> None:
+    def record_load(self, running: int, waiting: int, now: float) -> None:
         """Note the requests of all hosts that the target said it has now."""
         ...
 
-    def rate_named(self, notice: RateNotice, is_served: bool, request_id: str, now: float) -> None:
+    def record_rate(self, notice: RateNotice, is_served: bool, request_id: str, now: float) -> None:
         """Note what an answer said of the requests a second that the target takes.
 
         ``is_served`` is False for an answer that did not run the request.
         """
         ...
 
-    def backoff_asked(self, field: DecimalField, request_id: str, now: float) -> None:
+    def record_backoff(self, field: DecimalField, request_id: str, now: float) -> None:
         """Note for how many seconds a 503 of the target asks for no further request."""
         ...
 
-    def said_leaving(self, request_id: str, now: float) -> None:
+    def announced_leaving(self, request_id: str, now: float) -> None:
         """Note that the target says in an answer that it takes no new work."""
         ...
 
--- a/cranberrywall/routing/_pool.py
+++ b/cranberrywall/routing/_pool.py
@@ -15,9 +15,9 @@
     Announcement,
     Backoffs,
     DecimalField,
+    GroupMeans,
     Load,
     PrefixIndex,
-    Usual,
 )
 
 USUAL_EVERY_S = 0.5
@@ -86,7 +86,7 @@
         self._used_share = 1.0
         self._started_at = now
         self._choice = Choice(random, self.waits, self.prefixes, backoffs)
-        self._usual = Usual(0.0, 0.0, 0.0, self.waits.hold_s)
+        self._usual = GroupMeans(0.0, 0.0, 0.0, self.waits.hold_s)
         self._usual_until = 0.0
         self._first_rank_until = 0.0
         self._crowded_until = 0.0
@@ -148,7 +148,7 @@
 
         ``None`` where targets serve such demands, and the demand may go to none of them.
         """
-        if not demand.exclude and not self.backoffs.are_any():
+        if not demand.exclude and not self.backoffs.has_any():
             return now
         serving = [one for one in self.candidates if one.serves(demand.version, demand.adapter)]
         if not serving:
@@ -168,7 +168,7 @@
 
     def limited(self) -> dict[str, Candidate]:
         """Return, by id, the targets that named the requests a second that they take."""
-        rates = self.rates.known.rate_by_start
+        rates = self.rates.known.rate_by_incarnation
         if not rates:
             return {}
         return {known.target_id: known for known in self.candidates if known.start in rates}
@@ -176,7 +176,7 @@
     def open_limited(self, now: float) -> list[Candidate]:
         """Return the targets that named a rate and are in no backoff."""
         limited = self.limited().values()
-        return [known for known in limited if not self.backoffs.bars(known.start, now)]
+        return [known for known in limited if not self.backoffs.blocks_requests(known.start, now)]
 
     def propose(
         self,
@@ -220,9 +220,9 @@
     def hear(self, chosen: Chosen, owed: bool, since: float, now: float) -> None:
         """Note that a target began to answer."""
         self.hears_first_tokens = True
-        self.backoffs.served(chosen.candidate.start, since)
+        self.backoffs.record_served(chosen.candidate.start, since)
         if owed:
-            chosen.candidate.health.heard(now)
+            chosen.candidate.health.record_response(now)
             chosen.candidate.pending_blocks -= chosen.missed_blocks
 
     def finish(
@@ -245,25 +245,25 @@
         if owed:
             candidate.pending_blocks -= chosen.missed_blocks
             if answered:
-                candidate.health.heard(now)
+                candidate.health.record_response(now)
             else:
-                candidate.health.gave_up()
+                candidate.health.record_abandoned()
         if is_turned_away:
             self._fill(candidate, now)
         elif answered:
             candidate.health.answered(now)
-            self.backoffs.served(candidate.start, since)
+            self.backoffs.record_served(candidate.start, since)
             self._learn(chosen, outcome, since, now)
         elif outcome.kind is not OutcomeKind.CANCELLED:
             self._fail(candidate, now)
 
-    def probed(self, target_id: str, well: bool, now: float) -> None:
+    def record_probe(self, target_id: str, well: bool, now: float) -> None:
         """Take in what a probe of an ejected target showed."""
         candidate = self.candidate_by_id.get(target_id)
         if candidate is not None:
-            candidate.health.probed(well, now)
+            candidate.health.record_probe(well, now)
 
-    def doubtful(self, now: float) -> list[Announcement]:
+    def targets_to_probe(self, now: float) -> list[Announcement]:
         """Return the targets that are worth a probe: ejected or unresponsive ones.
 
         A target in need counts a probe as it counts a request, so it is tried by requests only.
@@ -271,9 +271,9 @@
         return [
             candidate.announcement
             for candidate in self.candidates
-            if candidate.health.is_ejected(now) or candidate.health.is_silent(now)
-            if not self.backoffs.bars(candidate.start, now)
-            if candidate.start not in self.rates.known.rate_by_start
+            if candidate.health.is_ejected(now) or candidate.health.is_unresponsive(now)
+            if not self.backoffs.blocks_requests(candidate.start, now)
+            if candidate.start not in self.rates.known.rate_by_incarnation
         ]
 
     def _choose(
@@ -327,29 +327,31 @@
 
     def _start(self, chosen: Chosen, demand: Demand, now: float) -> None:
         candidate = chosen.candidate
-        rates = self.rates.known.rate_by_start
+        rates = self.rates.known.rate_by_incarnation
         if rates and candidate.start in rates:
             self.rates.sent_by_target[candidate.target_id] += 1
-        self.backoffs.sent(candidate.start, now)
+        self.backoffs.record_sent(candidate.start, now)
         if demand.exclude and self._avoids_backoff(demand, now):
-            self.backoffs.went_elsewhere += 1
+            self.backoffs.rerouted += 1
         candidate.load.start(chosen.bounded, now)
         budgets = (self.retries, candidate.retries)
         for budget in budgets:
             if demand.retry:
                 budget.spend(now)
-            elif not demand.again:
+            elif not demand.is_resend:
                 budget.first_attempt(now)
         if self.hears_first_tokens:
             candidate.pending_blocks += chosen.missed_blocks
-            candidate.health.sent(now)
+            candidate.health.record_sent(now)
         self.prefixes.use(candidate.target_id, demand.prefix_hashes, now)
         self._has_prompts = self._has_prompts or bool(demand.prefix_hashes)
 
     def _avoids_backoff(self, demand: Demand, now: float) -> bool:
         """Return whether a target that the demand was tried at asked for a backoff since."""
         tried = (self.candidate_by_id.get(target_id) for target_id in demand.exclude)
-        return any(one is not None and self.backoffs.bars(one.start, now) for one in tried)
+        return any(
+            one is not None and self.backoffs.blocks_requests(one.start, now) for one in tried
+        )
 
     def _learn(self, chosen: Chosen, outcome: Outcome, since: float, now: float) -> None:
         candidate = chosen.candidate
@@ -386,12 +388,12 @@
         may_eject = ejected + 1 <= MOST_EJECTED * len(self.candidates)
         candidate.health.failed(now, may_eject, self._random)
 
-    def _usual_now(self, now: float) -> Usual:
+    def _usual_now(self, now: float) -> GroupMeans:
         if now >= self._usual_until:
             self._usual_until = now + USUAL_EVERY_S
             loads = [candidate.load for candidate in self.candidates]
             reported = [load.last_others for load in loads if load.last_others is not None]
-            self._usual = Usual(
+            self._usual = GroupMeans(
                 own=fmean([load.own_mean(now) for load in loads] or [0.0]),
                 others=fmean(reported or [0.0]),
                 unbounded_share=self._unbounded_share(),
@@ -452,30 +454,30 @@
             return self._version
         return self._announcement.versions[0]
 
-    def first_token(self, now: float) -> None:
+    def record_first_token(self, now: float) -> None:
         """Note that the target began to answer; a second call does nothing."""
         if self._open and not self._heard:
             self._heard = True
             self._pool.hear(self._chosen, self._owed, self._since, now)
             self._owed = False
 
-    def loaded(self, running: int, waiting: int, now: float) -> None:
+    def record_load(self, running: int, waiting: int, now: float) -> None:
         """Note the requests of all hosts that the target said it has now."""
         self._pool.note_load(self._chosen, running, waiting, now)
 
-    def rate_named(self, notice: RateNotice, is_served: bool, request_id: str, now: float) -> None:
+    def record_rate(self, notice: RateNotice, is_served: bool, request_id: str, now: float) -> None:
         """Note what an answer said of the requests a second that the target takes."""
         start = self._chosen.candidate.start
         known = self._pool.rates.known
-        known.heard(start, notice, self._rate_number, is_served, request_id, now)
+        known.record_response(start, notice, self._rate_number, is_served, request_id, now)
 
-    def backoff_asked(self, field: DecimalField, request_id: str, now: float) -> None:
+    def record_backoff(self, field: DecimalField, request_id: str, now: float) -> None:
         """Note for how many seconds a 503 of the target asks for no further request."""
         start = self._chosen.candidate.start
-        if self._pool.backoffs.asked(start, field, request_id, now):
+        if self._pool.backoffs.record_requested(start, field, request_id, now):
             self._is_turned_away = True
 
-    def said_leaving(self, request_id: str, now: float) -> None:
+    def announced_leaving(self, request_id: str, now: float) -> None:
         """Note that the target says in an answer that it takes no new work."""
         self._pool.on_leaving(self._announcement, request_id, now)
 
--- a/cranberrywall/routing/_queue.py
+++ b/cranberrywall/routing/_queue.py
@@ -128,7 +128,7 @@
         lanes = self._lane_by_rank.items()
         return sum(len(lane.waiters) for known, lane in lanes if known <= rank)
 
-    def by_want(self) -> dict[tuple[int, str], list[Waiter]]:
+    def by_demand(self) -> dict[tuple[int, str], list[Waiter]]:
         """Return all waiters by rank and workspace, the first in order first."""
         found: dict[tuple[int, str], list[Waiter]] = {}
         for rank in sorted(self._lane_by_rank):
--- a/cranberrywall/routing/_rated.py
+++ b/cranberrywall/routing/_rated.py
@@ -14,11 +14,11 @@
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.observability import EventLimiter
 from cranberrywall.rates import (
-    AskedTarget,
+    PermitDemand,
     PermitReply,
     PermitRequest,
+    RequestedTarget,
     TargetRates,
-    Want,
 )
 from cranberrywall.routing._candidates import Candidate, listed
 from cranberrywall.routing._choice import Chosen
@@ -27,13 +27,13 @@
 from cranberrywall.routing._pool import PoolSlot
 from cranberrywall.routing._queue import Answer, Waiter, latest_start
 from cranberrywall.runtime import Clock
-from cranberrywall.targets import Group, TargetStart
+from cranberrywall.targets import Group, TargetIncarnation
 
 POLL_S = 0.25
 """A host whose requests wait for permits says anew which, at least this often, in seconds. A permit
 that comes is at most so old, and a fifth of a second's rate is kept back for that."""
 
-MOST_WANTS = 32
+MAX_DEMANDS = 32
 """Kinds of waiting requests, by rank and workspace, that a host tells of at once, first ones."""
 
 TRY_AFTER_S = 5.0
@@ -80,7 +80,7 @@
         self._pool = dispatcher.pool
         self._rates = rates
         self._clock = clock
-        self._unused: list[TargetStart] = []
+        self._unused: list[TargetIncarnation] = []
         self._expected_by_want: dict[tuple[int, str], _Expected] = {}
         self._seeker: asyncio.Task[None] | None = None
         self._events = EventLimiter(clock.now)
@@ -101,7 +101,7 @@
         if self._seeker is None or self._seeker.done():
             self._seeker = asyncio.get_running_loop().create_task(self._seek())
 
-    def rate_changed(self, start: TargetStart, now: float) -> None:
+    def rate_changed(self, start: TargetIncarnation, now: float) -> None:
         """Ask anew where a target takes more by now, or waits were expected for less."""
         self._expected_by_want.clear()
         candidate = self._candidate(start)
@@ -116,7 +116,7 @@
         """
         if not self._pool.limited():
             return
-        for waiters in self._dispatcher.queue.by_want().values():
+        for waiters in self._dispatcher.queue.by_demand().values():
             for waiter in waiters:
                 if now >= waiter.latest:
                     self._refuse_waiter(waiter, LOST_WAIT_S, now)
@@ -147,7 +147,7 @@
     async def _grant_in_passing(
         self, candidate: Candidate, demand: Demand, on_end: OnEnd
     ) -> PoolSlot | None:
-        want = Want(demand.rank, demand.caller, 1)
+        want = PermitDemand(demand.rank, demand.caller, 1)
         reply = await self._ask([candidate], [want], 0.0)
         now = self._clock.now()
         candidate.asked_at = now
@@ -176,7 +176,7 @@
         wait_s = self._known_wait(demand, now)
         if now + wait_s > latest and not self._has_others(demand):
             return Err(self._refusal(demand, usable, wait_s, now))
-        want = Want(demand.rank, demand.caller, 1)
+        want = PermitDemand(demand.rank, demand.caller, 1)
         reply = await self._ask(self._best_first(usable, demand, now), [want], 0.0, latest - now)
         now = self._clock.now()
         if reply is not None and reply.permits:
@@ -264,10 +264,10 @@
     async def _seek(self) -> None:
         queue = self._dispatcher.queue
         while len(queue) and self._pool.limited():
-            waiters_by_want = queue.by_want()
+            waiters_by_want = queue.by_demand()
             wants = [
-                Want(rank, caller, len(waiters))
-                for (rank, caller), waiters in list(waiters_by_want.items())[:MOST_WANTS]
+                PermitDemand(rank, caller, len(waiters))
+                for (rank, caller), waiters in list(waiters_by_want.items())[:MAX_DEMANDS]
             ]
             candidates = self._pool.open_limited(self._clock.now())
             if not candidates:
@@ -298,10 +298,10 @@
                 self._unused.append(permit.start)
         return not self._unused
 
-    def _refuse_late(self, wants: Sequence[Want], reply: PermitReply) -> None:
+    def _refuse_late(self, wants: Sequence[PermitDemand], reply: PermitReply) -> None:
         """Refuse at once those that wait and would have their permit after their deadline."""
         now = self._clock.now()
-        waiters_by_want = self._dispatcher.queue.by_want()
+        waiters_by_want = self._dispatcher.queue.by_demand()
         for want, wait_s in zip(wants, reply.waits_s, strict=False):
             waiters = waiters_by_want.get((want.rank, want.workspace), [])
             for number, waiter in enumerate(waiters, start=1):
@@ -316,23 +316,23 @@
         refusal = self._refusal(waiter.demand, usable, wait_s, now)
         self._dispatcher.refuse_waiters([waiter], refusal)
 
-    def _candidate(self, start: TargetStart) -> Candidate | None:
+    def _candidate(self, start: TargetIncarnation) -> Candidate | None:
         candidate = self._pool.candidate_by_id.get(start.target)
         return candidate if candidate is not None and candidate.start == start else None
 
     async def _ask(
         self,
         candidates: Sequence[Candidate],
-        wants: Sequence[Want],
+        wants: Sequence[PermitDemand],
         wait_s: float,
-        patience_s: float = 0.0,
+        max_wait_s: float = 0.0,
     ) -> PermitReply | None:
         known = self._rates.known
         targets = []
         for candidate in candidates:
             rate = known.known(candidate.start)
             if rate.per_s is not None:
-                targets.append(AskedTarget(candidate.start, rate.number, rate.per_s))
+                targets.append(RequestedTarget(candidate.start, rate.number, rate.per_s))
         returned, self._unused = tuple(self._unused), []
         request = PermitRequest(
             self._group.kind,
@@ -340,7 +340,7 @@
             tuple(targets),
             tuple(wants),
             wait_s,
-            patience_s,
+            max_wait_s,
             returned,
         )
         reply = await self._rates.permits.ask(request)
--- a/cranberrywall/routing/_retries.py
+++ b/cranberrywall/routing/_retries.py
@@ -16,15 +16,15 @@
 class RetryLimits(NamedTuple):
     """Bound one host's retries; the hosts' bounds add up to the fleet's.
 
-    ``share`` are the retries that each first attempt pays for, ``saved`` those that can be
-    saved up, and one is allowed every ``every_s`` seconds in any case. Where ``sharers`` is
-    above 0, the hosts share what is ``saved`` among them, that many at least.
+    ``share`` are the retries that each first attempt pays for, ``max_saved`` those that can be
+    saved up, and one is allowed every ``interval_s`` seconds in any case. Where ``min_hosts`` is
+    above 0, the hosts share what is ``max_saved`` among them, that many at least.
     """
 
     share: float = RETRY_SHARE
-    saved: float = MOST_SAVED
-    every_s: float = EVERY_S
-    sharers: int = 0
+    max_saved: float = MOST_SAVED
+    interval_s: float = EVERY_S
+    min_hosts: int = 0
 
 
 class RetryBudget:
@@ -38,7 +38,7 @@
     ) -> None:
         self._limits = limits or RetryLimits()
         self._count_hosts = count_hosts
-        self._most_hosts = self._limits.sharers
+        self._most_hosts = self._limits.min_hosts
         self._saved = self._most_saved() / 2
         self._updated_at = now
 
@@ -61,7 +61,7 @@
     def seconds_to_next(self, now: float) -> float:
         """Return the seconds until a retry is allowed without any first attempt."""
         self._refill(now)
-        return max(0.0, 1.0 - self._saved) * self._limits.every_s
+        return max(0.0, 1.0 - self._saved) * self._limits.interval_s
 
     def _most_saved(self) -> float:
         """Return what this host may save up.
@@ -69,14 +69,14 @@
         Its part never grows: in a cut, each side sees few hosts, and the parts of both sides
         would add up to more than all may save.
         """
-        if not self._limits.sharers:
-            return self._limits.saved
+        if not self._limits.min_hosts:
+            return self._limits.max_saved
         self._most_hosts = max(self._most_hosts, self._count_hosts())
-        return self._limits.saved / self._most_hosts
+        return self._limits.max_saved / self._most_hosts
 
     def _refill(self, now: float) -> None:
         # Only a slow trickle: what is saved while nothing runs must not pay for a storm.
         elapsed = max(0.0, now - self._updated_at)
         self._updated_at = max(now, self._updated_at)
         if self._saved < 1.0:
-            self._saved = min(1.0, self._saved + elapsed / self._limits.every_s)
+            self._saved = min(1.0, self._saved + elapsed / self._limits.interval_s)
--- a/cranberrywall/routing/_router.py
+++ b/cranberrywall/routing/_router.py
@@ -9,11 +9,11 @@
 from cranberrywall.configuration import Configuration, Workspace
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.rates import (
-    AskedTarget,
+    PermitDemand,
     PermitRequest,
+    RequestedTarget,
     TargetRates,
-    Want,
-    make_lone_rates,
+    make_standalone_rates,
 )
 from cranberrywall.routing._dispatcher import MAX_WAITING, Dispatcher
 from cranberrywall.routing._distances import Distances
@@ -29,8 +29,8 @@
     Backoffs,
     Change,
     Group,
+    TargetIncarnation,
     Targets,
-    TargetStart,
     group_of,
 )
 
@@ -70,7 +70,7 @@
         place,
         count_hosts,
         max_waiting,
-        rates or make_lone_rates(targets, clock, random),
+        rates or make_standalone_rates(targets, clock, random),
         backoffs or Backoffs(clock, random),
         on_leaving or partial(_apply_leaving, targets),
         retry_limits,
@@ -142,15 +142,15 @@
         if target is None:
             return True
         announcement = target.announcement
-        start = TargetStart(announcement.target, announcement.incarnation)
-        if self._backoffs.bars(start, self._clock.now()):
+        start = TargetIncarnation(announcement.target, announcement.incarnation)
+        if self._backoffs.blocks_requests(start, self._clock.now()):
             return False
         known = self._rates.known.known(start)
         if known.per_s is None:
             return True
         group = group_of(announcement)
-        asked = AskedTarget(start, known.number, known.per_s)
-        want = Want(rank, workspace, 1)
+        asked = RequestedTarget(start, known.number, known.per_s)
+        want = PermitDemand(rank, workspace, 1)
         reply = await self._rates.permits.ask(
             PermitRequest(group.kind, group.name, (asked,), (want,), 0.0)
         )
@@ -175,14 +175,16 @@
                 self._rated_by_group[group].expire(now)
             dispatcher.dispatch(now)
 
-    def doubtful(self, now: float) -> list[Announcement]:
+    def targets_to_probe(self, now: float) -> list[Announcement]:
         """Return the targets that are worth a probe."""
         dispatchers = self._dispatcher_by_group.values()
-        return [found for dispatcher in dispatchers for found in dispatcher.pool.doubtful(now)]
+        return [
+            found for dispatcher in dispatchers for found in dispatcher.pool.targets_to_probe(now)
+        ]
 
-    def probed(self, announcement: Announcement, well: bool, now: float) -> None:
+    def record_probe(self, announcement: Announcement, well: bool, now: float) -> None:
         """Take in what a probe of a target showed."""
-        self._dispatcher(group_of(announcement)).pool.probed(announcement.target, well, now)
+        self._dispatcher(group_of(announcement)).pool.record_probe(announcement.target, well, now)
 
     async def _acquire_rated(
         self, dispatcher: Dispatcher, demand: Demand, on_end: Callable[[float], None]
@@ -289,7 +291,7 @@
             dispatcher.pool.put(announcement, now)
         dispatcher.dispatch(now)
 
-    def _on_rate(self, start: TargetStart) -> None:
+    def _on_rate(self, start: TargetIncarnation) -> None:
         """Serve those that wait where a target's need is over; ask for permits where it began."""
         now = self._clock.now()
         for group, dispatcher in self._dispatcher_by_group.items():
@@ -301,7 +303,7 @@
             if len(dispatcher.queue) and dispatcher.pool.limited():
                 rated.seek()
 
-    def _on_backoff(self, start: TargetStart) -> None:
+    def _on_backoff(self, start: TargetIncarnation) -> None:
         """Refuse at once those that wait for this target alone, and for too long."""
         now = self._clock.now()
         for dispatcher in self._dispatcher_by_group.values():
--- a/cranberrywall/routing/_spread.py
+++ b/cranberrywall/routing/_spread.py
@@ -1,6 +1,6 @@
 """Pass targets' announcements on among the entry hosts."""
 
-from cranberrywall.hosts import Item, Spread, Urgency
+from cranberrywall.hosts import Gossip, Item, Urgency
 from cranberrywall.links import MalformedMessageError
 from cranberrywall.runtime import Clock
 from cranberrywall.targets import TARGETS_CODEC, Announcement, Targets
@@ -9,12 +9,14 @@
 RENEWAL_TOPIC = "target-renewal"
 
 
-def make_target_spread(targets: Targets, spread: Spread, clock: Clock) -> "TargetSpread":
+def make_announcement_gossip(
+    targets: Targets, gossip: Gossip, clock: Clock
+) -> "AnnouncementGossip":
     """Return what passes announcements on, and takes in those of other hosts."""
-    return TargetSpread(targets, spread, clock)
+    return AnnouncementGossip(targets, gossip, clock)
 
 
-class TargetSpread:
+class AnnouncementGossip:
     """Publish first-hand announcements, each on the way that its news needs.
 
     A target that joins, changes or leaves is pushed from host to host at once. Renewals,
@@ -22,13 +24,13 @@
     the next one, 2 s later, makes up for it.
     """
 
-    def __init__(self, targets: Targets, spread: Spread, clock: Clock) -> None:
+    def __init__(self, targets: Targets, gossip: Gossip, clock: Clock) -> None:
         self._targets = targets
-        self._spread = spread
+        self._spread = gossip
         self._clock = clock
         self._state_by_id: dict[str, Announcement] = {}
-        spread.subscribe(STATE_TOPIC, self._take)
-        spread.subscribe(RENEWAL_TOPIC, self._take)
+        gossip.subscribe(STATE_TOPIC, self._take)
+        gossip.subscribe(RENEWAL_TOPIC, self._take)
 
     def publish(self, announcement: Announcement) -> None:
         """Pass on an announcement that came at first hand."""
--- a/cranberrywall/targets/__init__.py
+++ b/cranberrywall/targets/__init__.py
@@ -2,20 +2,20 @@
 
 from cranberrywall.targets._backoffs import Backoffs
 from cranberrywall.targets._connections import (
-    NoLongerOfferedError,
     TargetConnector,
+    TargetWithdrawnError,
     while_offered,
 )
 from cranberrywall.targets._decimal_field import ABSENT, DecimalField, read_decimal_field
 from cranberrywall.targets._health import Health
 from cranberrywall.targets._http import ANNOUNCE_PATH, make_announce_routes
-from cranberrywall.targets._leaving_news import HostRun, LeavingNews
-from cranberrywall.targets._load import LoadEstimate, Usual
+from cranberrywall.targets._leaving_updates import HostIncarnation, LeavingUpdates
+from cranberrywall.targets._load import GroupMeans, LoadEstimate
 from cranberrywall.targets._prefixes import PrefixIndex
 from cranberrywall.targets._probes import Probe, Prober, make_http_probe
-from cranberrywall.targets._relay import TargetRelay, ask_who_leaves, register_relay
+from cranberrywall.targets._relay import TargetRelay, fetch_leaving_targets, register_relay
 from cranberrywall.targets._targets import (
-    KEPT_S,
+    TARGET_RETENTION_S,
     TTL_S,
     Change,
     Group,
@@ -30,37 +30,37 @@
     Announcement,
     CacheEvent,
     Load,
-    TargetStart,
+    TargetIncarnation,
 )
 
 __all__ = [
     "ABSENT",
     "ANNOUNCE_PATH",
     "TARGETS_CODEC",
-    "KEPT_S",
+    "TARGET_RETENTION_S",
     "TTL_S",
     "Announcement",
     "Backoffs",
     "CacheEvent",
     "Change",
     "DecimalField",
-    "HostRun",
+    "HostIncarnation",
     "Group",
     "Health",
-    "LeavingNews",
+    "LeavingUpdates",
     "Load",
     "LoadEstimate",
-    "NoLongerOfferedError",
+    "TargetWithdrawnError",
     "PrefixIndex",
     "Probe",
     "Prober",
     "Target",
     "TargetConnector",
     "TargetRelay",
-    "TargetStart",
+    "TargetIncarnation",
     "Targets",
-    "Usual",
-    "ask_who_leaves",
+    "GroupMeans",
+    "fetch_leaving_targets",
     "group_of",
     "make_announce_routes",
     "make_http_probe",
--- a/cranberrywall/targets/_backoffs.py
+++ b/cranberrywall/targets/_backoffs.py
@@ -8,7 +8,7 @@
 from cranberrywall.observability import EventLimiter, Metrics, log_event
 from cranberrywall.runtime import Clock, Random
 from cranberrywall.targets._decimal_field import DecimalField
-from cranberrywall.targets.messages import TargetStart
+from cranberrywall.targets.messages import TargetIncarnation
 
 LONGEST_BACKOFF_S = 3600.0
 """A longer backoff counts as this, in seconds; the answer to the next request renews it."""
@@ -27,7 +27,7 @@
 MOST_KNOWN = 4096
 """Targets with a backoff at most."""
 
-Listener = Callable[[TargetStart], None]
+Listener = Callable[[TargetIncarnation], None]
 
 
 class _Backoff:
@@ -43,7 +43,7 @@
         self.turned_away = 0
         self.has_ended = False
 
-    def bars(self, now: float) -> bool:
+    def blocks_requests(self, now: float) -> bool:
         """Return whether no further request may be sent now."""
         if now < self.until:
             return True
@@ -59,11 +59,11 @@
     def __init__(self, clock: Clock, random: Random) -> None:
         self.began = 0
         self.unreadable = 0
-        self.went_elsewhere = 0
+        self.rerouted = 0
         self.refused = 0
         self._clock = clock
         self._random = random
-        self._backoff_by_start: dict[TargetStart, _Backoff] = {}
+        self._backoff_by_incarnation: dict[TargetIncarnation, _Backoff] = {}
         self._listeners: list[Listener] = []
         self._events = EventLimiter(clock.now)
 
@@ -71,7 +71,9 @@
         """Call ``listener`` with each start of a target that asks for a backoff."""
         self._listeners.append(listener)
 
-    def asked(self, start: TargetStart, field: DecimalField, request_id: str, now: float) -> bool:
+    def record_requested(
+        self, start: TargetIncarnation, field: DecimalField, request_id: str, now: float
+    ) -> bool:
         """Take in what a target's 503 asks for; return whether it asks for a backoff."""
         if field.unreadable:
             self.unreadable += 1
@@ -86,8 +88,8 @@
             return False
         if not field.number:
             return False
-        backoff = self._backoff_by_start.get(start)
-        if backoff is None and len(self._backoff_by_start) >= MOST_KNOWN:
+        backoff = self._backoff_by_incarnation.get(start)
+        if backoff is None and len(self._backoff_by_incarnation) >= MOST_KNOWN:
             self._events.log("WARNING", "target_backoffs_full", "too_many", target=start.target)
             return True
         if backoff is None or now >= backoff.until:
@@ -100,49 +102,49 @@
             listener(start)
         return True
 
-    def bars(self, start: TargetStart, now: float) -> bool:
+    def blocks_requests(self, start: TargetIncarnation, now: float) -> bool:
         """Return whether no further request may be sent to a start of a target now."""
-        if not self._backoff_by_start:
+        if not self._backoff_by_incarnation:
             return False
-        backoff = self._backoff_by_start.get(start)
-        return backoff is not None and backoff.bars(now)
+        backoff = self._backoff_by_incarnation.get(start)
+        return backoff is not None and backoff.blocks_requests(now)
 
-    def until(self, start: TargetStart, now: float) -> float:
+    def until(self, start: TargetIncarnation, now: float) -> float:
         """Return when a start of a target takes requests again; ``now`` where it does."""
-        backoff = self._backoff_by_start.get(start)
+        backoff = self._backoff_by_incarnation.get(start)
         return now if backoff is None else max(now, backoff.until)
 
-    def are_any(self) -> bool:
+    def has_any(self) -> bool:
         """Return whether a backoff is known, also one that is over but not tried yet."""
-        return bool(self._backoff_by_start)
+        return bool(self._backoff_by_incarnation)
 
-    def sent(self, start: TargetStart, now: float) -> None:
+    def record_sent(self, start: TargetIncarnation, now: float) -> None:
         """Note a request to a target: the first one after a backoff is the trial."""
-        backoff = self._backoff_by_start.get(start)
+        backoff = self._backoff_by_incarnation.get(start)
         if backoff is None:
             return
         self._note_end(start, backoff, now)
         if backoff.tried_at is None:
             backoff.tried_at = now
         else:
-            del self._backoff_by_start[start]
+            del self._backoff_by_incarnation[start]
 
-    def served(self, start: TargetStart, sent_at: float) -> None:
+    def record_served(self, start: TargetIncarnation, sent_at: float) -> None:
         """Note that a target began to answer a request of ``sent_at``: a trial ends by that."""
-        backoff = self._backoff_by_start.get(start)
+        backoff = self._backoff_by_incarnation.get(start)
         if backoff is not None and backoff.tried_at is not None and sent_at >= backoff.tried_at:
-            del self._backoff_by_start[start]
+            del self._backoff_by_incarnation[start]
 
     def expire(self, now: float) -> None:
         """Note backoffs that are over, and forget old ones; call it once a second."""
-        for start, backoff in list(self._backoff_by_start.items()):
+        for start, backoff in list(self._backoff_by_incarnation.items()):
             self._note_end(start, backoff, now)
             if now >= backoff.until + KEPT_S:
-                del self._backoff_by_start[start]
+                del self._backoff_by_incarnation[start]
 
-    def describe(self, start: TargetStart, now: float) -> dict[str, object] | None:
+    def describe(self, start: TargetIncarnation, now: float) -> dict[str, object] | None:
         """Return what operators see of a target's backoff; ``None`` where it asks for none."""
-        backoff = self._backoff_by_start.get(start)
+        backoff = self._backoff_by_incarnation.get(start)
         if backoff is None or now >= backoff.until:
             return None
         return {
@@ -166,14 +168,16 @@
             lambda: {
                 "began": self.began,
                 "unreadable": self.unreadable,
-                "request_went_elsewhere": self.went_elsewhere,
+                "request_went_elsewhere": self.rerouted,
                 "request_refused": self.refused,
             },
         )
 
-    def _begin(self, start: TargetStart, seconds: float, request_id: str, now: float) -> _Backoff:
+    def _begin(
+        self, start: TargetIncarnation, seconds: float, request_id: str, now: float
+    ) -> _Backoff:
         self.began += 1
-        backoff = self._backoff_by_start[start] = _Backoff(request_id, now)
+        backoff = self._backoff_by_incarnation[start] = _Backoff(request_id, now)
         log_event(
             "INFO",
             "target_backoff_began",
@@ -184,7 +188,7 @@
         )
         return backoff
 
-    def _note_end(self, start: TargetStart, backoff: _Backoff, now: float) -> None:
+    def _note_end(self, start: TargetIncarnation, backoff: _Backoff, now: float) -> None:
         if backoff.has_ended or now < backoff.until:
             return
         backoff.has_ended = True
@@ -199,4 +203,4 @@
         )
 
     def _count(self, now: float) -> int:
-        return sum(now < backoff.until for backoff in self._backoff_by_start.values())
+        return sum(now < backoff.until for backoff in self._backoff_by_incarnation.values())
--- a/cranberrywall/targets/_connections.py
+++ b/cranberrywall/targets/_connections.py
@@ -13,13 +13,13 @@
 _is_offered: ContextVar[IsOffered | None] = ContextVar("is_offered", default=None)
 
 
-class NoLongerOfferedError(Exception):
+class TargetWithdrawnError(Exception):
     """Report that no byte was sent, since the target left while the connection was made."""
 
 
 @contextmanager
 def while_offered(is_offered: IsOffered) -> Iterator[None]:
-    """Let requests of this task fail with ``NoLongerOfferedError`` where ``is_offered`` is false.
+    """Let requests of this task fail with ``TargetWithdrawnError`` where ``is_offered`` is false.
 
     It is asked when the connection stands, just before the first byte.
     """
@@ -44,5 +44,5 @@
         is_offered = _is_offered.get()
         if is_offered is not None and not is_offered():
             connection.close()
-            raise NoLongerOfferedError("the target left while the connection was made")
+            raise TargetWithdrawnError("the target left while the connection was made")
         return connection
--- a/cranberrywall/targets/_health.py
+++ b/cranberrywall/targets/_health.py
@@ -64,29 +64,29 @@
         """Say whether the target is back but has not answered yet: one request at a time."""
         return self._on_trial and not self.is_ejected(now)
 
-    def is_silent(self, now: float) -> bool:
+    def is_unresponsive(self, now: float) -> bool:
         """Say whether the target owes first tokens and has said nothing for too long."""
         # A target that accepts and never answers has no outcomes to count for as long as
         # callers wait, while its requests seem merely to run. Only its silence shows it.
         return self._owed > 0 and now - self._heard_at > SILENCE_S
 
-    def share_of_capacity(self, now: float) -> float:
+    def capacity_share(self, now: float) -> float:
         """Return the share of capacity to use: it rises slowly after a start."""
         age = max(0.0, now - self._since)
         return min(1.0, SLOW_START_FROM + (1.0 - SLOW_START_FROM) * age / SLOW_START_S)
 
-    def sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Note a request that the target now owes a first token for."""
         if self._owed == 0:
             self._heard_at = now
         self._owed += 1
 
-    def heard(self, now: float) -> None:
+    def record_response(self, now: float) -> None:
         """Note a first token, or the end of a request without one."""
         self._owed -= 1
         self._heard_at = now
 
-    def gave_up(self) -> None:
+    def record_abandoned(self) -> None:
         """Note that a first token is no longer waited for; it is no sign of life."""
         self._owed -= 1
 
@@ -118,7 +118,7 @@
         self._eject(now, random)
         return True
 
-    def probed(self, well: bool, now: float) -> None:
+    def record_probe(self, well: bool, now: float) -> None:
         """Take in a probe of an ejected target: an answer ends the ejection."""
         if well and self.is_ejected(now):
             self._ejected_until = now
--- a/cranberrywall/targets/_leaving_news.py
+++ b/cranberrywall/targets/_leaving_updates.py
@@ -15,7 +15,7 @@
     SHARE_LEAVING,
     Announcement,
     PassOnRequest,
-    TargetStart,
+    TargetIncarnation,
 )
 
 TELL_TIMEOUT_S = 0.5
@@ -37,7 +37,7 @@
 """A host that could be told only after this is logged, in seconds."""
 
 
-class HostRun(NamedTuple):
+class HostIncarnation(NamedTuple):
     """Name one run of an entry or control host by its streams' address and its incarnation."""
 
     links: str
@@ -51,7 +51,7 @@
     at: float
 
 
-class LeavingNews:
+class LeavingUpdates:
     """Hold what targets said, numbered, and up to which number each host has it.
 
     What was acknowledged to a target must be known at every host that may send to it: the host
@@ -60,7 +60,7 @@
     """
 
     def __init__(
-        self, hosts: Callable[[], Sequence[HostRun]], caller: Caller, clock: Clock
+        self, hosts: Callable[[], Sequence[HostIncarnation]], caller: Caller, clock: Clock
     ) -> None:
         """``hosts`` gives the hosts to tell, as of now."""
         self._hosts = hosts
@@ -68,11 +68,11 @@
         self._clock = clock
         self._late = EventLimiter(clock.now)
         self._news: deque[_News] = deque()
-        self._known_starts: set[TargetStart] = set()
+        self._known_starts: set[TargetIncarnation] = set()
         self._number = 0
-        self._told_by_run: dict[HostRun, int] = {}
-        self._listed: set[HostRun] = set()
-        self._telling: set[HostRun] = set()
+        self._told_by_run: dict[HostIncarnation, int] = {}
+        self._listed: set[HostIncarnation] = set()
+        self._telling: set[HostIncarnation] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._is_looking = False
         self._observe_told: Callable[[float], None] = lambda seconds: None
@@ -106,7 +106,7 @@
         """Return what was said last, as much as one message holds."""
         return tuple(one.announcement for one in self._news)[-MOST_AT_ONCE:]
 
-    def untold(self) -> list[HostRun]:
+    def unnotified(self) -> list[HostIncarnation]:
         """Return the hosts that are being told now."""
         return sorted(self._telling)
 
@@ -117,7 +117,7 @@
                 self._telling.add(run)
                 self._start(self._tell(run))
 
-    def _missing(self, run: HostRun) -> bool:
+    def _missing(self, run: HostIncarnation) -> bool:
         return bool(self._news) and self._told_by_run.get(run, 0) < self._news[-1].number
 
     async def _look_for_hosts(self) -> None:
@@ -134,7 +134,7 @@
             run: number for run, number in self._told_by_run.items() if run in self._listed
         }
 
-    async def _tell(self, run: HostRun) -> None:
+    async def _tell(self, run: HostIncarnation) -> None:
         began_at = self._clock.now()
         try:
             while self._missing(run) and run in self._listed:
@@ -144,7 +144,7 @@
             self._telling.discard(run)
         self._note_late(run, self._clock.now() - began_at)
 
-    async def _tell_next(self, run: HostRun) -> bool:
+    async def _tell_next(self, run: HostIncarnation) -> bool:
         told = self._told_by_run.get(run, 0)
         batch = [one for one in self._news if one.number > told][:MOST_AT_ONCE]
         request = PassOnRequest(tuple(one.announcement for one in batch))
@@ -156,7 +156,7 @@
         self._observe_told(self._clock.now() - batch[0].at)
         return True
 
-    def _note_late(self, run: HostRun, seconds: float) -> None:
+    def _note_late(self, run: HostIncarnation, seconds: float) -> None:
         if seconds <= LATE_S:
             return
         outcome = "gave_up" if self._missing(run) else "told"
@@ -168,5 +168,5 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _start_of(announcement: Announcement) -> TargetStart:
-    return TargetStart(announcement.target, announcement.incarnation)
+def _start_of(announcement: Announcement) -> TargetIncarnation:
+    return TargetIncarnation(announcement.target, announcement.incarnation)
--- a/cranberrywall/targets/_load.py
+++ b/cranberrywall/targets/_load.py
@@ -19,7 +19,7 @@
 """Requests added to this host's own counts when they are compared between targets."""
 
 
-class Usual(NamedTuple):
+class GroupMeans(NamedTuple):
     """Hold means over the targets of one model or service.
 
     ``own`` is this host's requests in flight at a target, ``others`` those of other hosts.
@@ -85,7 +85,7 @@
         self._reported_at = now - age
         return own.bounded
 
-    def others(self, usual: Usual, now: float) -> float:
+    def others(self, usual: GroupMeans, now: float) -> float:
         """Return the estimated requests of other hosts at the target.
 
         A report counts for as long as the requests that it counted last. What it no
--- a/cranberrywall/targets/_probes.py
+++ b/cranberrywall/targets/_probes.py
@@ -8,7 +8,7 @@
 from cranberrywall.runtime import Clock
 from cranberrywall.targets._backoffs import Backoffs
 from cranberrywall.targets._decimal_field import read_decimal_field
-from cranberrywall.targets.messages import Announcement, TargetStart
+from cranberrywall.targets.messages import Announcement, TargetIncarnation
 
 PROBE_EVERY_S = 1.0
 PROBE_TIMEOUT_S = 2.0
@@ -41,9 +41,9 @@
 
     def note(announcement: Announcement, answer: aiohttp.ClientResponse) -> None:
         if answer.status == _UNAVAILABLE:
-            start = TargetStart(announcement.target, announcement.incarnation)
+            start = TargetIncarnation(announcement.target, announcement.incarnation)
             field = read_decimal_field(answer.headers.getall(BACKOFF_HEADER, []))
-            backoffs.asked(start, field, PROBE_REQUEST_ID, clock.now())
+            backoffs.record_requested(start, field, PROBE_REQUEST_ID, clock.now())
 
     async def probe(announcement: Announcement) -> bool:
         engine = announcement.kind == "engine"
--- a/cranberrywall/targets/_relay.py
+++ b/cranberrywall/targets/_relay.py
@@ -13,7 +13,7 @@
 from cranberrywall.links import Caller, Method, Peer, Server
 from cranberrywall.observability import Metrics, log_event
 from cranberrywall.runtime import Clock
-from cranberrywall.targets._leaving_news import LEAVING_KEPT_S, HostRun, LeavingNews
+from cranberrywall.targets._leaving_updates import LEAVING_KEPT_S, HostIncarnation, LeavingUpdates
 from cranberrywall.targets._targets import Change, Targets, group_of
 from cranberrywall.targets.messages import (
     LEAVING,
@@ -23,7 +23,7 @@
     LeavingRequest,
     PassOnReply,
     PassOnRequest,
-    TargetStart,
+    TargetIncarnation,
 )
 
 PASS_ON_TIMEOUT_S = 0.4
@@ -60,7 +60,7 @@
     server.register(PASS_ON, answer)
 
 
-async def ask_who_leaves(
+async def fetch_leaving_targets(
     controls: Sequence[str], caller: Caller, publish: Callable[[Announcement], None]
 ) -> None:
     """Ask control hosts which targets leave, all at once, and take in the first answer."""
@@ -103,11 +103,11 @@
 
     def __init__(
         self,
-        entries: Callable[[], Sequence[HostRun]],
+        entries: Callable[[], Sequence[HostIncarnation]],
         caller: Caller,
         clock: Clock,
         kind_by_name: KindByName = lambda: None,
-        others: Callable[[], Sequence[HostRun]] = lambda: (),
+        others: Callable[[], Sequence[HostIncarnation]] = lambda: (),
         tells: Callable[[str], bool] = lambda links: True,
     ) -> None:
         """``entries`` gives the entry hosts known, ``others`` the other control hosts.
@@ -122,11 +122,11 @@
         self._caller = caller
         self._clock = clock
         self._turn = 0
-        self._acknowledged: dict[TargetStart, float] = {}
+        self._acknowledged: dict[TargetIncarnation, float] = {}
         # All that is known here goes to the entry hosts that fall to this one; what targets said
         # to this one goes to the other control hosts.
-        self._news = LeavingNews(self._entries_of_mine, caller, clock)
-        self._own_news = LeavingNews(self._holders_to_be, caller, clock)
+        self._news = LeavingUpdates(self._entries_of_mine, caller, clock)
+        self._own_news = LeavingUpdates(self._holders_to_be, caller, clock)
         self._tasks: set[asyncio.Task[bool]] = set()
 
     def register(self, server: Server) -> None:
@@ -138,9 +138,9 @@
         """Let ``metrics`` show how soon entry hosts know which targets leave."""
         self._news.export(metrics)
 
-    def untold(self) -> list[str]:
+    def unnotified(self) -> list[str]:
         """Return the addresses of the entry hosts that are still to hear that a target leaves."""
-        hosts = {*self._news.untold(), *self._own_news.untold()}
+        hosts = {*self._news.unnotified(), *self._own_news.unnotified()}
         return sorted({run.links for run in hosts if not run.is_control})
 
     def check(self, announcement: Announcement) -> Refusal | None:
@@ -188,7 +188,7 @@
     async def _take_leaving(self, announcement: Announcement, change: Change) -> bool:
         # A target that got no acknowledgement says it again, as one that is acknowledged does
         # with each of its renewals. Neither is news by its order, and only the first is to be told.
-        start = TargetStart(announcement.target, announcement.incarnation)
+        start = TargetIncarnation(announcement.target, announcement.incarnation)
         if start in self._acknowledged:
             return True
         if change is not Change.STALE:
@@ -211,7 +211,7 @@
             self._acknowledge(start, self._clock.now())
         return holders.are_enough
 
-    def _acknowledge(self, start: TargetStart, now: float) -> None:
+    def _acknowledge(self, start: TargetIncarnation, now: float) -> None:
         self._acknowledged[start] = now
         while next(iter(self._acknowledged.values())) < now - LEAVING_KEPT_S:
             del self._acknowledged[next(iter(self._acknowledged))]
@@ -244,17 +244,17 @@
     ) -> Result[PassOnRequest, Refusal]:
         return Ok(PassOnRequest(self._news.newest()))
 
-    def _entries_of_mine(self) -> list[HostRun]:
+    def _entries_of_mine(self) -> list[HostIncarnation]:
         return [run for run in self._entries() if self._tells(run.links)]
 
-    def _holders_to_be(self) -> list[HostRun]:
+    def _holders_to_be(self) -> list[HostIncarnation]:
         """Return the other control hosts, and all entry hosts while one of these is not told.
 
         The control hosts that would tell an entry host may all be cut off from this one, and not
         from the entry host.
         """
         controls = list(self._others())
-        if any(run.is_control for run in self._own_news.untold()):
+        if any(run.is_control for run in self._own_news.unnotified()):
             return [*controls, *self._entries()]
         return controls
 
--- a/cranberrywall/targets/_targets.py
+++ b/cranberrywall/targets/_targets.py
@@ -10,7 +10,7 @@
 TTL_S = 6.0
 """Targets are asked to renew within this time, in seconds; they do so every 2 s."""
 
-KEPT_S = 20.0
+TARGET_RETENTION_S = 20.0
 """A target is forgotten after so many seconds without news.
 
 Renewals pass from host to host with other messages, and about one in five misses a host, so
@@ -107,7 +107,7 @@
             return self._tell(announcement, Change.LEFT, now)
         return self._tell(announcement, self._put(announcement, now), now)
 
-    def forget(self, target_id: str, now: float) -> None:
+    def discard(self, target_id: str, now: float) -> None:
         """Use a target no more until it is heard again, in any newer message of its own.
 
         It is for a target that seems to have ended. If that was wrong, its next renewal brings
@@ -129,7 +129,7 @@
             _, target_id = heapq.heappop(self._expiries)
             heard_at = self._heard_at_by_id.get(target_id, now)
             target = self.by_id.get(target_id)
-            if target is not None and now >= heard_at + KEPT_S:
+            if target is not None and now >= heard_at + TARGET_RETENTION_S:
                 self._remove(target_id)
                 self._tell(target.announcement, Change.LEFT, now)
                 gone.append(target_id)
@@ -159,7 +159,7 @@
         """
         other = self._id_by_url.get(announcement.url)
         if other is not None and other != announcement.target:
-            self.forget(other, now)
+            self.discard(other, now)
         self._id_by_url[announcement.url] = announcement.target
 
     def _remove(self, target_id: str) -> None:
@@ -183,16 +183,16 @@
         # One entry a target is in the heap: a renewal moves only ``heard_at``, and the
         # entry is pushed again when it comes up.
         if target_id not in self._heard_at_by_id:
-            heapq.heappush(self._expiries, (now + KEPT_S, target_id))
+            heapq.heappush(self._expiries, (now + TARGET_RETENTION_S, target_id))
         self._heard_at_by_id[target_id] = now
 
     def _schedule_next(self, target_id: str, heard_at: float, now: float) -> None:
         if target_id in self.by_id:
-            heapq.heappush(self._expiries, (heard_at + KEPT_S, target_id))
+            heapq.heappush(self._expiries, (heard_at + TARGET_RETENTION_S, target_id))
         elif now < heard_at + TOMBSTONE_S:
             # A target that is heard again meanwhile expires by this entry too late, so
             # tombstones come up as often as targets.
-            heapq.heappush(self._expiries, (now + KEPT_S, target_id))
+            heapq.heappush(self._expiries, (now + TARGET_RETENTION_S, target_id))
         else:
             del self._order_by_id[target_id]
             del self._heard_at_by_id[target_id]
--- a/cranberrywall/targets/messages.py
+++ b/cranberrywall/targets/messages.py
@@ -108,7 +108,7 @@
     slots: int = 0
 
 
-class TargetStart(NamedTuple):
+class TargetIncarnation(NamedTuple):
     """Name one start of a target: another start under the same name has another incarnation."""
 
     target: str
--- a/measurements/_backoff_fleet.py
+++ b/measurements/_backoff_fleet.py
@@ -13,7 +13,7 @@
 from result import Err
 
 from cranberrywall.configuration import Document
-from cranberrywall.rates import make_lone_rates
+from cranberrywall.rates import make_standalone_rates
 from cranberrywall.routing import (
     Demand,
     Outcome,
@@ -34,7 +34,7 @@
 ATTEMPTS = 2
 LATE_REFUSAL_S = 0.05
 EXPIRE_S = 1.0
-RETRIES = RetryLimits(share=0.2, saved=30.0, sharers=1)
+RETRIES = RetryLimits(share=0.2, max_saved=30.0, min_hosts=1)
 
 
 class BackoffSchedule(NamedTuple):
@@ -180,7 +180,7 @@
             "p",
             lambda: self.schedule.hosts,
             retry_limits=RETRIES,
-            rates=make_lone_rates(targets, clock, self.random),
+            rates=make_standalone_rates(targets, clock, self.random),
             backoffs=backoffs,
         )
 
@@ -245,12 +245,12 @@
         await asyncio.sleep(self.random.uniform(*LINK_S))
         now = loop.time()
         if schedule.reports:
-            slot.loaded(running, 0, now)
+            slot.record_load(running, 0, now)
         if is_taken:
             slot.finish(Outcome(OutcomeKind.ANSWERED, schedule.work_s), now)
             return True
         if schedule.keeps:
-            slot.backoff_asked(DecimalField(schedule.backoff_s), "id", now)
+            slot.record_backoff(DecimalField(schedule.backoff_s), "id", now)
         slot.finish(Outcome(OutcomeKind.FAILED_AFTER), now)
         return False
 
--- a/measurements/_confirmed_fleet.py
+++ b/measurements/_confirmed_fleet.py
@@ -10,8 +10,8 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-from cranberrywall.commands._control_ties import ControlTies
-from cranberrywall.commands._entry_ties import HostTies
+from cranberrywall.commands._control_ties import ControlConnections
+from cranberrywall.commands._entry_ties import HostConnections
 from cranberrywall.configuration import (
     CONFIGURATION_CODEC,
     SpreadHost,
@@ -21,7 +21,7 @@
 )
 from cranberrywall.configuration.messages import PublishNumbered
 from cranberrywall.links import LinkCaller, LinkServer, Peer, make_caller, make_link_server
-from cranberrywall.routing import make_target_spread
+from cranberrywall.routing import make_announcement_gossip
 from cranberrywall.runtime import Runtime
 from cranberrywall.settings import FleetKeys, Settings, with_defaults
 from cranberrywall.targets import Announcement, Change, make_targets, register_relay
@@ -86,10 +86,10 @@
         self.server = make_link_server(runtime.network, clock, me.links, KEY, identity)
         groups: Any = _GroupsAround(self.caller, self.server, [one.links for one in fleet.core])
         settings = fleet.settings_of(me, "control")
-        self.ties = ControlTies(settings, runtime, identity, groups, self.machine)
-        self.relay = self.ties.relay
+        self.connections = ControlConnections(settings, runtime, identity, groups, self.machine)
+        self.relay = self.connections.relay
         self.feed = make_control_feed(
-            me, self.machine, self.ties, self.caller, clock, self.ties.tellers.tells
+            me, self.machine, self.connections, self.caller, clock, self.connections.tellers.tells
         )
         self.feed.register(self.server)
         self._tasks: list[asyncio.Task[Any]] = []
@@ -98,7 +98,7 @@
         """Listen, and tell of what is new."""
         await self.server.start()
         self._tasks.append(asyncio.create_task(self.feed.run()))
-        self._tasks += [asyncio.create_task(loop()) for loop in self.ties.loops()]
+        self._tasks += [asyncio.create_task(loop()) for loop in self.connections.loops()]
 
     async def stop(self) -> None:
         """End everything."""
@@ -131,30 +131,34 @@
         self.configuration = make_host_configuration(None)
         self.configuration.watch(self._note)
         keys = FleetKeys(KEY, "", "")
-        self.ties = HostTies(fleet.settings_of(me, "entry"), runtime, keys, self.configuration)
+        self.connections = HostConnections(
+            fleet.settings_of(me, "entry"), runtime, keys, self.configuration
+        )
         self.targets = make_targets()
         self.targets.subscribe(self._note_target)
-        self.spread = make_target_spread(self.targets, self.ties.membership.spread, fleet.clock)
-        self.ties.follower.register(self.ties.server)
-        register_relay(self.ties.server, self.spread.publish)
-        await self.ties.server.start()
+        self.gossip = make_announcement_gossip(
+            self.targets, self.connections.membership.gossip, fleet.clock
+        )
+        self.connections.follower.register(self.connections.server)
+        register_relay(self.connections.server, self.gossip.publish)
+        await self.connections.server.start()
         self._tasks = [asyncio.create_task(self._run())]
 
     async def _run(self) -> None:
-        contacts = self.ties.contacts
+        contacts = self.connections.contacts
         assert contacts is not None
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(contacts.run())
-            await self.ties.membership.start()
-            await self.ties.follower.join()
-            tasks.create_task(self.ties.follower.run())
+            await self.connections.membership.start()
+            await self.connections.follower.join()
+            tasks.create_task(self.connections.follower.run())
             tasks.create_task(self._expire())
 
     async def _expire(self) -> None:
         clock = self._fleet.clock
         while True:
             await clock.sleep(EXPIRE_EVERY_S)
-            self.spread.expire(clock.now())
+            self.gossip.expire(clock.now())
 
     def _note_target(self, announcement: Announcement, change: Change, now: float) -> None:
         if change is Change.LEFT:
@@ -171,9 +175,9 @@
         """End the process without a word."""
         self._fleet.fabric.crash(self.ip)
         await _cancel(self._tasks)
-        await self.ties.membership.close()
-        await self.ties.caller.close()
-        await self.ties.server.close()
+        await self.connections.membership.close()
+        await self.connections.caller.close()
+        await self.connections.server.close()
 
 
 class ConfirmedFleet:
--- a/measurements/_control_hosts.py
+++ b/measurements/_control_hosts.py
@@ -15,7 +15,7 @@
     make_caller,
     make_link_server,
 )
-from cranberrywall.replication import Replica, founders_of, make_group
+from cranberrywall.replication import Replica, initial_members_of, make_group
 from cranberrywall.runtime import Runtime, make_runtime
 
 HOSTS = ("a", "b", "c")
@@ -111,7 +111,7 @@
         self._links.append(caller)
         for group in self._groups:
             replica = make_group(
-                group, founders_of(addresses, host), host, Counter(), runtime, caller, server
+                group, initial_members_of(addresses, host), host, Counter(), runtime, caller, server
             )
             started = await replica.start()
             assert isinstance(started, Ok), started
--- a/measurements/_fatal_fleet.py
+++ b/measurements/_fatal_fleet.py
@@ -10,7 +10,14 @@
 from typing import Any, NamedTuple
 
 from cranberrywall.hosts import Item
-from cranberrywall.quarantine import Fingerprint, Quarantine, Run, RunEnd, RunWatch, fingerprint_of
+from cranberrywall.quarantine import (
+    Fingerprint,
+    Quarantine,
+    Run,
+    RunEnd,
+    RunTracker,
+    fingerprint_of,
+)
 from cranberrywall.targets import Announcement, make_targets
 
 FIRST_PORT = 1000
@@ -148,8 +155,8 @@
         network: Any = _Network(fleet.target_by_address)
         self.spread = spread
         self.targets = make_targets()
-        self.watch = RunWatch(self.targets, network, clock)
-        self.quarantine = Quarantine(name, self.watch, spread, clock)
+        self.tracker = RunTracker(self.targets, network, clock)
+        self.quarantine = Quarantine(name, self.tracker, spread, clock)
 
 
 class FatalFleet:
@@ -246,9 +253,9 @@
         self, host: _Host, target: _Target, fingerprint: Fingerprint, lasts_s: float, fatal: bool
     ) -> bool:
         loop = asyncio.get_running_loop()
-        run = host.watch.begin("id", target.id, fingerprint, True)
+        run = host.tracker.begin("id", target.id, fingerprint, True)
         if not self.schedule.tells:
-            host.watch.on_ended = None
+            host.tracker.on_ended = None
         target.in_flight += 1
         self.most_in_flight = max(self.most_in_flight, target.in_flight)
         stopped = asyncio.Event()
@@ -257,7 +264,7 @@
             end = await self._work(target, run, lasts_s, fatal, stopped)
         finally:
             target.in_flight -= 1
-        host.watch.finish(run, end, f"http://10.0.0.1:{target.port}", loop.time())
+        host.tracker.finish(run, end, f"http://10.0.0.1:{target.port}", loop.time())
         return end is RunEnd.WHOLE
 
     async def _work(
--- a/measurements/_fleet_model.py
+++ b/measurements/_fleet_model.py
@@ -170,7 +170,7 @@
 
         def on_first_token(now: float) -> None:
             first.append(now)
-            slot.first_token(now)
+            slot.record_first_token(now)
 
         work = Work(
             request.prefix, request.output_tokens, request.rank, on_first_token, end.set_result
--- a/measurements/_rate_fleet.py
+++ b/measurements/_rate_fleet.py
@@ -136,7 +136,7 @@
 
     def _pass_to(self, peer: "_Host", item: Item) -> None:
         if self._fleet.reaches(self._host, peer):
-            peer.spread.take(item)
+            peer.gossip.take(item)
 
 
 class _Links:
@@ -182,7 +182,7 @@
     def __init__(self, host: "_Host", fleet: "RateFleet") -> None:
         self._host = host
         self._fleet = fleet
-        self.spread: Any = host.spread
+        self.gossip: Any = host.gossip
         self._views: list[HostView] = []
         self._views_at = float("-inf")
 
@@ -228,7 +228,7 @@
         fleet = self.fleet
         clock = VirtualClock()
         self.targets: Targets = make_targets()
-        self.spread = _Spread(self, fleet)
+        self.gossip = _Spread(self, fleet)
         self.links = _Links(self, fleet)
         membership: Any = _Membership(self, fleet)
         links: Any = self.links
@@ -364,8 +364,8 @@
             host.start()
             others = [peer for peer in self.hosts if peer is not host and self.is_up(peer)]
             if others:
-                for item in list(others[0].spread.item_by_key.values()):
-                    host.spread.take(item)
+                for item in list(others[0].gossip.item_by_key.values()):
+                    host.gossip.take(item)
 
     async def _ask(self) -> None:
         loop = asyncio.get_running_loop()
@@ -409,7 +409,7 @@
         if notice.per_s is not None:
             target.first_named_at = min(target.first_named_at, loop.time())
         if self.schedule.keeps:
-            slot.rate_named(notice, True, "id", loop.time())
+            slot.record_rate(notice, True, "id", loop.time())
         slot.finish(Outcome(OutcomeKind.ANSWERED), loop.time())
         self.served += in_need
         if in_need:
--- a/measurements/document_sizes.py
+++ b/measurements/document_sizes.py
@@ -17,7 +17,7 @@
 from cranberrywall.configuration._machine import chain_after
 from cranberrywall.configuration._packing import pack, unpack
 from cranberrywall.configuration.messages import Delta, Pack, PublishNumbered, Revision
-from cranberrywall.forwarding._routes import make_table
+from cranberrywall.forwarding._routes import map_routes_by_prefix
 from measurements._figures import report_figures
 from measurements.confirmed_changes import with_routes
 from tests.fakes.clock import run_virtual
@@ -81,7 +81,7 @@
             "pack_ms": fastest_ms(partial(pack, content)),
             "unpack_ms": fastest_ms(partial(unpack, packed, Pack)),
             "apply_ms": apply_ms(whole),
-            "route_ms": fastest_ms(partial(make_table, cast(Document, document))),
+            "route_ms": fastest_ms(partial(map_routes_by_prefix, cast(Document, document))),
         }
         print(name, " ".join(f"{key}={value:.4g}" for key, value in row.items()), flush=True)
         figures.update({f"{key}_{name}": value for key, value in row.items()})
--- a/measurements/leaving.py
+++ b/measurements/leaving.py
@@ -16,7 +16,7 @@
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.hosts import LiveMembership, make_membership
 from cranberrywall.links import Handler, Method, Peer
-from cranberrywall.routing import Demand, Router, make_router, make_target_spread
+from cranberrywall.routing import Demand, Router, make_announcement_gossip, make_router
 from cranberrywall.targets import Announcement, Change, make_targets
 from measurements._figures import report_figures
 from measurements._fleet_model import ModelConfiguration
@@ -88,7 +88,7 @@
             peer, address, address, seeds, end, end, clock, source
         )
         self.targets = make_targets()
-        self.spread = make_target_spread(self.targets, self.membership.spread, clock)
+        self.gossip = make_announcement_gossip(self.targets, self.membership.gossip, clock)
         self.router: Router = make_router(
             self.targets, ModelConfiguration(PLACES), clock, source, peer.host, place
         )
@@ -97,7 +97,7 @@
     def hear(self, announcement: Announcement) -> None:
         """Take an announcement at first hand, as the HTTP call does."""
         self.targets.apply(announcement, self._clock.now())
-        self.spread.publish(announcement)
+        self.gossip.publish(announcement)
 
 
 class Watch:
@@ -188,7 +188,7 @@
 async def _expire(host: EntryHost) -> None:
     while True:
         await asyncio.sleep(EXPIRE_EVERY_S)
-        host.spread.expire(asyncio.get_running_loop().time())
+        host.gossip.expire(asyncio.get_running_loop().time())
 
 
 async def _ask(host: EntryHost, watch: Watch, clock: VirtualClock) -> None:
--- a/measurements/recovery.py
+++ b/measurements/recovery.py
@@ -20,7 +20,7 @@
 
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.links import Peer, make_caller, make_link_server
-from cranberrywall.replication import Founders, GroupSettings, Replica, make_group
+from cranberrywall.replication import GroupSettings, InitialMembers, Replica, make_group
 from cranberrywall.runtime import make_runtime
 from measurements._figures import report_figures
 from tests.fakes.clock import run_virtual
@@ -339,7 +339,7 @@
     server = make_link_server(runtime.network, runtime.clock, "127.0.0.1:0", KEY, peer)
     group = make_group(
         "measured",
-        Founders(("127.0.0.1:1",), "127.0.0.1:1"),
+        InitialMembers(("127.0.0.1:1",), "127.0.0.1:1"),
         "a",
         Registers(),
         runtime,
--- a/measurements/routing_cost.py
+++ b/measurements/routing_cost.py
@@ -118,7 +118,7 @@
         slots.append((await router.acquire(demand, now)).unwrap())
         if len(slots) > IN_PROGRESS:
             slot = slots.pop(0)
-            slot.first_token(now)
+            slot.record_first_token(now)
             slot.finish(Outcome(OutcomeKind.ANSWERED, 0.1, 100), now)
     return (time.process_time() - start) / len(demands) * 1e6
 
--- a/tests/budgets/ledgers.py
+++ b/tests/budgets/ledgers.py
@@ -30,7 +30,7 @@
     def apply(self, message: Any) -> Any:
         return LEDGER_CODEC.decode(self.machine.apply(LEDGER_CODEC.encode(message)))
 
-    def ask(self, message: Any) -> Any:
+    def make_request(self, message: Any) -> Any:
         return LEDGER_CODEC.decode(self.machine.query(LEDGER_CODEC.encode(message)))
 
     def restart(self) -> None:
@@ -58,7 +58,7 @@
         return outcome
 
     def sums(self, budget: str = "desk") -> BudgetResult:
-        result = self.ask(BudgetQuery(budget))
+        result = self.make_request(BudgetQuery(budget))
         assert isinstance(result, BudgetResult), result
         parts = result.charged + result.outstanding + result.in_doubt + result.free
         assert result.credited == parts
--- a/tests/budgets/money_stories.py
+++ b/tests/budgets/money_stories.py
@@ -13,11 +13,13 @@
 from tests.fakes.storage import FakeStorage
 
 PLACES = {"a1": "north", "a2": "north", "b1": "south", "b2": "south", "b3": "south"}
-SOUTH_AWAY = {"b1": 1, "b2": 1, "b3": 1}
+SOUTH_PARTITIONED = {"b1": 1, "b2": 1, "b3": 1}
 Story = Callable[[MoneyFleet], Awaitable[None]]
 
 
-def on_fleet(story: Story, disks: Collection[str] = (), policy: SpendPolicy | None = None) -> None:
+def on_fleet(
+    scenario: Story, disks: Collection[str] = (), policy: SpendPolicy | None = None
+) -> None:
     """Tell a story on a fleet that has started, in virtual time."""
 
     async def main() -> None:
@@ -26,21 +28,23 @@
             PLACES, make_ledger_machine(), VirtualClock(), random.Random(5), policy, storages
         )
         await fleet.start()
-        await story(fleet)
+        await scenario(fleet)
         await fleet.stop()
 
     run_virtual(main())
 
 
-def ask(fleet: MoneyFleet, id_: str, bound: int, patience_s: float = 3.0) -> ReserveRequest:
+def make_request(
+    fleet: MoneyFleet, id_: str, bound: int, max_wait_s: float = 3.0
+) -> ReserveRequest:
     """Return a request of the budget ``main``."""
-    return ReserveRequest("clerks", "main", id_, bound, fleet.clock.now() + patience_s)
+    return ReserveRequest("clerks", "main", id_, bound, fleet.clock.now() + max_wait_s)
 
 
 async def reserved(fleet: MoneyFleet, host: str, id_: str, bound: int) -> Reservation:
     """Reserve, which must succeed."""
     allotments = fleet.host_by_name[host].allotments
-    answer = await allotments.reserve(ask(fleet, id_, bound), fleet.clock.now())
+    answer = await allotments.reserve(make_request(fleet, id_, bound), fleet.clock.now())
     assert isinstance(answer, Ok), answer
     return answer.ok_value
 
@@ -48,7 +52,7 @@
 async def refused(fleet: MoneyFleet, host: str, id_: str, bound: int) -> ErrorKind:
     """Reserve, which must be refused; gives the kind."""
     allotments = fleet.host_by_name[host].allotments
-    answer = await allotments.reserve(ask(fleet, id_, bound), fleet.clock.now())
+    answer = await allotments.reserve(make_request(fleet, id_, bound), fleet.clock.now())
     assert isinstance(answer, Err), "it was served"
     return answer.err_value.kind
 
@@ -64,7 +68,7 @@
     spent = 0
     while True:
         allotments = fleet.host_by_name[host].allotments
-        request = ask(fleet, f"{name}-{spent}", amount)
+        request = make_request(fleet, f"{name}-{spent}", amount)
         answer = await allotments.reserve(request, fleet.clock.now())
         if isinstance(answer, Err):
             return spent
--- a/tests/budgets/test_allotments_differ.py
+++ b/tests/budgets/test_allotments_differ.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from result import Ok
 
-from tests.budgets.money_stories import PLACES, SOUTH_AWAY, ask, on_fleet
+from tests.budgets.money_stories import PLACES, SOUTH_PARTITIONED, make_request, on_fleet
 from tests.fakes.money import MoneyFleet
 from tests.naive.budget_schemes import Hold, Oracle
 
@@ -46,7 +46,7 @@
 
     async def reserve(self, host: str, bound: int) -> tuple[Any, Hold] | None:
         self.number += 1
-        request = ask(self.fleet, f"r{self.number}", bound)
+        request = make_request(self.fleet, f"r{self.number}", bound)
         now = self.fleet.clock.now()
         answer = await self.fleet.host_by_name[host].allotments.reserve(request, now)
         hold = self.oracle.reserve(host, "main", bound, now)
@@ -88,7 +88,7 @@
         self.oracle.credit("main", amount, 0.0)
 
     async def cut(self, is_south: bool) -> None:
-        self.fleet.net.cut(SOUTH_AWAY if is_south else {"a1": 1, "a2": 1})
+        self.fleet.net.cut(SOUTH_PARTITIONED if is_south else {"a1": 1, "a2": 1})
         self.is_whole = False
 
     async def mend(self) -> None:
@@ -123,11 +123,11 @@
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(steps=st.lists(STEPS, min_size=5, max_size=30))
 def test_the_fleet_agrees_with_one_central_ledger(steps: list[tuple[Any, ...]]) -> None:
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         both = _Both(fleet)
         await both.credit(3000)
         for step in steps:
             await both.step(*step)
         await both.finish()
 
-    on_fleet(story, disks=("a1", "a2", "b1"))
+    on_fleet(scenario, disks=("a1", "a2", "b1"))
--- a/tests/budgets/test_announced.py
+++ b/tests/budgets/test_announced.py
@@ -64,11 +64,11 @@
 def test_a_later_run_of_a_keeper_proves_nothing() -> None:
     """A keeper is started anew and says that it holds nothing: it forgot what it held."""
     holders = Holders()
-    holders.note_contact(A, Contact(1.0, False, (B, C)))
-    assert not holders.is_proven(A, Evidence(9.0, True, (B_AGAIN, C)))
-    assert not holders.is_proven(A, Evidence(9.0, True, (C,)))
-    assert holders.is_proven(A, Evidence(9.0, True, (B, C)))
-    assert holders.is_proven(A, Evidence(9.0, True, (C,), ("b",)))
+    holders.record_contact(A, Contact(1.0, False, (B, C)))
+    assert not holders.is_proven_empty(A, Evidence(9.0, True, (B_AGAIN, C)))
+    assert not holders.is_proven_empty(A, Evidence(9.0, True, (C,)))
+    assert holders.is_proven_empty(A, Evidence(9.0, True, (B, C)))
+    assert holders.is_proven_empty(A, Evidence(9.0, True, (C,), ("b",)))
 
 
 def test_a_command_that_a_cut_held_up_changes_no_keepers() -> None:
@@ -78,23 +78,23 @@
     peers would be asked, and money that was spent would come back.
     """
     holders = Holders()
-    holders.note_contact(A, Contact(2.0, False, (C,)))
-    holders.note_contact(A, Contact(1.0, False, (B,)))
-    assert holders.keepers([A]) == ("c",)
-    assert not holders.is_proven(A, Evidence(9.0, True, (B,)))
+    holders.record_contact(A, Contact(2.0, False, (C,)))
+    holders.record_contact(A, Contact(1.0, False, (B,)))
+    assert holders.replica_hosts([A]) == ("c",)
+    assert not holders.is_proven_empty(A, Evidence(9.0, True, (B,)))
 
 
 def test_nothing_proves_what_a_holder_kept_that_never_named_its_keepers() -> None:
     """A host that started in a cut is lost. What its peers gave it may be kept anywhere."""
     holders = Holders()
-    holders.note_contact(A, Contact(2.0, True))
-    assert not holders.is_proven(A, Evidence(9.0, True))
+    holders.record_contact(A, Contact(2.0, True))
+    assert not holders.is_proven_empty(A, Evidence(9.0, True))
 
 
 def test_what_a_detached_holder_says_leaves_its_keepers_as_they_were() -> None:
     holders = Holders()
-    holders.note_contact(A, Contact(1.0, False, (B,)))
-    holders.note_contact(A, Contact(2.0, True))
+    holders.record_contact(A, Contact(1.0, False, (B,)))
+    holders.record_contact(A, Contact(2.0, True))
     loaded = Holders()
     loaded.load(holders.dump())
-    assert loaded.keepers([A]) == ("b",)
+    assert loaded.replica_hosts([A]) == ("b",)
--- a/tests/budgets/test_bounds.py
+++ b/tests/budgets/test_bounds.py
@@ -17,7 +17,7 @@
     before = bounds.bound("m", SIZE, 1.2)
     for _ in range(samples):
         actual = round(1000 * chance.uniform(0.2, 0.3)) + 16
-        bounds.learn("m", SIZE, bounds.bound("m", SIZE, 1.2), actual)
+        bounds.record_usage("m", SIZE, bounds.bound("m", SIZE, 1.2), actual)
     return before, bounds.bound("m", SIZE, 1.2)
 
 
@@ -38,13 +38,13 @@
     """
     bounds = make_input_bounds(proven_after=10)
     for _ in range(10):
-        bounds.learn("m", SIZE, 1016, 266)
+        bounds.record_usage("m", SIZE, 1016, 266)
     tight = bounds.bound("m", SIZE, 1.0)
-    bounds.learn("m", SIZE, tight, 700)
+    bounds.record_usage("m", SIZE, tight, 700)
     assert bounds.bound("m", SIZE, 1.0) == 1016
     assert bounds.figures("m").exceeded == 1
     for _ in range(10):
-        bounds.learn("m", SIZE, 1016, 266)
+        bounds.record_usage("m", SIZE, 1016, 266)
     assert bounds.bound("m", SIZE, 1.0) >= 700
 
 
@@ -62,6 +62,6 @@
     for ratio in ratios:
         actual = int(size.text_bytes * ratio) + 8 * size.messages
         worst = max(worst, actual)
-        bounds.learn("m", size, bounds.bound("m", size, margin), actual)
+        bounds.record_usage("m", size, bounds.bound("m", size, margin), actual)
     safe = size.text_bytes + 8 * size.messages
     assert worst <= bounds.bound("m", size, margin) <= safe
--- a/tests/budgets/test_closing.py
+++ b/tests/budgets/test_closing.py
@@ -38,7 +38,7 @@
 
 
 def report(ledger: Ledger, period: str = "", workspace: str = "", limit: int = 10) -> ReportResult:
-    result = ledger.ask(ReportQuery(period, workspace, "", limit))
+    result = ledger.make_request(ReportQuery(period, workspace, "", limit))
     assert isinstance(result, ReportResult), result
     for row in result.rows:
         spent = row.charged_before + row.charged + row.charged_after
@@ -108,7 +108,7 @@
     assert report(ledger, "2026-11") == closed
     assert close(ledger, "2026-11", NOVEMBER_END) == before
     assert report(ledger).rows[0].charged == 7
-    rows = ledger.ask(ExceptionsQuery("", False, NOVEMBER_END, 0, 10)).rows
+    rows = ledger.make_request(ExceptionsQuery("", False, NOVEMBER_END, 0, 10)).rows
     late = [(row.kind, row.request_id) for row in rows if row.number]
     assert late == [(ExceptionKind.LATE_PERIOD, "r2")]
 
@@ -155,7 +155,7 @@
         assert ledger.apply(plan) == Accepted()
         ledger.restart()
     ledger.charge(A1, "r2", 2, 5, end + 60)
-    open_periods = ledger.ask(PeriodsQuery(end + DAY)).open_periods
+    open_periods = ledger.make_request(PeriodsQuery(end + DAY)).open_periods
     assert [one.period for one in open_periods] == ["november", "dec"]
     assert isinstance(close(ledger, "november", end), ClosePeriodResult)
     assert report(ledger, "november").rows[0].charged == 10
@@ -194,10 +194,10 @@
     ledger.charge(B1, "r1", 1, 10, IN_NOVEMBER)
     assert ledger.charge(B1, "big", 2, 500, IN_NOVEMBER) is ChargeOutcome.IN_DOUBT
     close(ledger, "2026-11", NOVEMBER_END)
-    closed = ledger.ask(ExceptionsQuery("", False, 0.0, 0, 10, "2026-11")).rows
+    closed = ledger.make_request(ExceptionsQuery("", False, 0.0, 0, 10, "2026-11")).rows
     kinds = [row.kind for row in closed if row.number]
     assert kinds == [ExceptionKind.DUPLICATE, ExceptionKind.UNFUNDED]
-    now_open = ledger.ask(ExceptionsQuery("", False, 0.0, 0, 10)).rows
+    now_open = ledger.make_request(ExceptionsQuery("", False, 0.0, 0, 10)).rows
     assert [row.kind for row in now_open if row.number] == [ExceptionKind.UNFUNDED]
     assert report(ledger, "2026-11").rows[0].in_doubt == 50
 
@@ -209,7 +209,7 @@
     close(ledger, "2026-11", NOVEMBER_END)
     ledger.restart()
     assert ledger.charge(B1, "r1", 1, 10, IN_NOVEMBER) is ChargeOutcome.DUPLICATE
-    rows = ledger.ask(ExceptionsQuery("", False, 0.0, 0, 10)).rows
+    rows = ledger.make_request(ExceptionsQuery("", False, 0.0, 0, 10)).rows
     assert [row for row in rows if row.number] == []
 
 
@@ -220,13 +220,13 @@
     for period in ("", "2026-11"):
         names, after = [], ""
         while True:
-            page = ledger.ask(ReportQuery(period, "clerks", after, 10))
+            page = ledger.make_request(ReportQuery(period, "clerks", after, 10))
             names += [row.budget for row in page.rows]
             after = page.next_after
             if not after:
                 break
         assert names == [f"b{number:02}" for number in range(25)]
-        assert ledger.ask(ReportQuery(period, "nobody", "", 10)).rows == ()
+        assert ledger.make_request(ReportQuery(period, "nobody", "", 10)).rows == ()
         close(ledger, "2026-11", NOVEMBER_END)
 
 
@@ -241,7 +241,7 @@
     named: list[str] = []
     after = 0
     while True:
-        page = ledger.ask(ExceptionsQuery("", True, IN_NOVEMBER, after, 10))
+        page = ledger.make_request(ExceptionsQuery("", True, IN_NOVEMBER, after, 10))
         assert len(page.rows) <= 10
         named += [row.budget for row in page.rows]
         after = page.next_after
@@ -260,7 +260,7 @@
         ledger.charge(A1, f"r{number}", number, 1, IN_NOVEMBER)
         ledger.charge(B1, f"r{number}", number, 1, IN_NOVEMBER)
     ledger.restart()
-    result = ledger.ask(ExceptionsQuery("", False, 0.0, 0, 100))
+    result = ledger.make_request(ExceptionsQuery("", False, 0.0, 0, 100))
     assert len([row for row in result.rows if row.number]) == 4
     assert (result.unnamed, result.unnamed_late) == (3, 3)
     assert report(ledger).rows[0].charged == 5
@@ -281,6 +281,6 @@
     ledger = spent_in_november()
     ledger.charge(A1, "r2", 2, 5, IN_NOVEMBER + 1)
     ledger.charge(A1, "r3", 3, 7, IN_NOVEMBER + DAY)
-    days = ledger.ask(SpendQuery("clerks")).days
+    days = ledger.make_request(SpendQuery("clerks")).days
     assert [(day.amount, day.requests) for day in days] == [(15, 2), (7, 1)]
-    assert ledger.ask(SpendQuery("others")).days == ()
+    assert ledger.make_request(SpendQuery("others")).days == ()
--- a/tests/budgets/test_closing_differs.py
+++ b/tests/budgets/test_closing_differs.py
@@ -55,7 +55,7 @@
         self.count = 0
 
     def row(self, period: str) -> ReportRow:
-        (row,) = self.ledger.ask(ReportQuery(period, "", "", 10)).rows
+        (row,) = self.ledger.make_request(ReportQuery(period, "", "", 10)).rows
         spent = row.charged_before + row.charged + row.charged_after
         assert row.credited == spent + row.outstanding + row.in_doubt + row.free
         assert isinstance(row, ReportRow)
@@ -80,7 +80,7 @@
 
     def close_first(self) -> None:
         """Close the first open period, which must always be possible after its end."""
-        first = self.ledger.ask(PeriodsQuery(START)).open_periods[0]
+        first = self.ledger.make_request(PeriodsQuery(START)).open_periods[0]
         self._close(first.through, must=True)
 
     def _close(self, through: float, must: bool) -> None:
@@ -120,6 +120,6 @@
         row = books.row("")
         assert row.charged == sum(one.amount for one in books.charges)
         assert row.credits == sum(one.amount for one in books.credits)
-    kept = books.ledger.ask(PeriodsQuery(START)).periods
+    kept = books.ledger.make_request(PeriodsQuery(START)).periods
     assert {one.period for one in kept} == set(list(books.closed)[-len(kept) :] if kept else [])
     assert all(books.row(one.period) == books.closed[one.period] for one in kept)
--- a/tests/budgets/test_intents.py
+++ b/tests/budgets/test_intents.py
@@ -27,7 +27,7 @@
 
 
 def known(ledger: Ledger, request: str = "q") -> IntentResult:
-    result: IntentResult = ledger.ask(IntentQuery("desk", "clerks", request))
+    result: IntentResult = ledger.make_request(IntentQuery("desk", "clerks", request))
     return result
 
 
--- a/tests/budgets/test_ledger_failures.py
+++ b/tests/budgets/test_ledger_failures.py
@@ -31,7 +31,9 @@
 
 
 def named(ledger: Ledger, now: float = NOW) -> list[ExceptionRow]:
-    rows: tuple[ExceptionRow, ...] = ledger.ask(ExceptionsQuery("", False, now, 0, 100)).rows
+    rows: tuple[ExceptionRow, ...] = ledger.make_request(
+        ExceptionsQuery("", False, now, 0, 100)
+    ).rows
     assert all(row.reason and row.remedy for row in rows)
     return list(rows)
 
--- a/tests/budgets/test_lost_steps.py
+++ b/tests/budgets/test_lost_steps.py
@@ -14,8 +14,8 @@
 from cranberrywall.budgets.messages import LEDGER_CODEC, ChargeBatch, Draw, Holder, Return
 from cranberrywall.errors import ErrorKind
 from tests.budgets.money_stories import (
-    SOUTH_AWAY,
-    ask,
+    SOUTH_PARTITIONED,
+    make_request,
     on_fleet,
     refused,
     reserved,
@@ -56,26 +56,26 @@
     The draw was applied. Sent under a new number, the first grant would be stranded.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100)
         fleet.net.lose_reply = LoseFirst(Draw)
         await spend(fleet, "a1", "one", 100)
         await same_sums(fleet, 100)
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_charges_whose_answer_is_lost_are_billed_once() -> None:
     """The leader changes as it answers a batch of charges: they are sent again."""
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 1_000)
         fleet.net.lose_reply = LoseFirst(ChargeBatch)
         assert await spend(fleet, "a1", "one", 100) == Ok(None)
         assert await spend(fleet, "a1", "two", 100) == Ok(None)
         await same_sums(fleet, 200)
 
-    on_fleet(story, disks=("a1",))
+    on_fleet(scenario, disks=("a1",))
 
 
 def test_a_return_whose_answer_is_lost_cannot_be_spent_here_as_well() -> None:
@@ -84,17 +84,17 @@
     The money has left the host before the message went out.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100)
         (await reserved(fleet, "a1", "one", 50)).release(fleet.clock.now())
         fleet.net.lose_reply = LoseFirst(Return)
         allotments = fleet.host_by_name["a1"].allotments
         assert isinstance(await allotments.hand_back(), Err)
-        assert allotments.try_reserve(ask(fleet, "two", 50), fleet.clock.now()) is None
+        assert allotments.try_reserve(make_request(fleet, "two", 50), fleet.clock.now()) is None
         assert await spend(fleet, "a1", "three", 100) == Ok(None)
         await same_sums(fleet, 100)
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_a_return_whose_answer_is_lost_is_sent_again_although_nothing_else_is_held() -> None:
@@ -103,7 +103,7 @@
     Nobody could spend the amount while the ledger does not know that it was returned.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100)
         (await reserved(fleet, "a1", "one", 50)).release(fleet.clock.now())
         fleet.net.lose_request = LoseFirst(Return)
@@ -111,14 +111,14 @@
         await fleet.clock.sleep(30.0)
         assert await spend(fleet, "b1", "two", 100) == Ok(None)
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 async def hold_everywhere(fleet: MoneyFleet) -> None:
     fleet.credit("main", 900)
     for host in ("b1", "b2", "b3"):
         (await reserved(fleet, host, f"{host}-first", 10)).release(fleet.clock.now())
-    fleet.net.cut(SOUTH_AWAY)
+    fleet.net.cut(SOUTH_PARTITIONED)
 
 
 @pytest.mark.parametrize("step", ["request", "reply"])
@@ -134,7 +134,7 @@
     and what was stranded can be spent.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await hold_everywhere(fleet)
         victim = {"giver": "b2", "taker": "b1"}.get(dies)
         restarts: list[asyncio.Task[None]] = []
@@ -160,7 +160,7 @@
         await same_sums(fleet, spent + rest)
         assert 0 <= 900 - spent - rest < 10 * 5
 
-    on_fleet(story, disks=disks)
+    on_fleet(scenario, disks=disks)
 
 
 def test_a_report_that_waits_for_a_lost_host_is_not_sent_all_the_time() -> None:
@@ -170,7 +170,7 @@
     go on, and all adds up once the lost hosts are back.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await hold_everywhere(fleet)
         await fleet.clock.sleep(2.0)
         for host, amount in (("b3", 200), ("b1", 100)):
@@ -186,7 +186,7 @@
             await fleet.host_by_name[host].start()
         await same_sums(fleet, 300)
 
-    on_fleet(story, disks=("b1", "b2", "b3"))
+    on_fleet(scenario, disks=("b1", "b2", "b3"))
 
 
 def test_money_that_goes_round_across_a_cut_adds_up_after_it() -> None:
@@ -195,13 +195,13 @@
     The ledger takes each report once the one that funds it is there; nothing is in doubt.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await hold_everywhere(fleet)
         spent = 0
         for turn, host in enumerate(("b1", "b2", "b3", "b2", "b1", "b3") * 6):
             amount = 20 + 7 * (turn % 5)
             allotments = fleet.host_by_name[host].allotments
-            request = ask(fleet, f"turn-{turn}", amount)
+            request = make_request(fleet, f"turn-{turn}", amount)
             answer = await allotments.reserve(request, fleet.clock.now())
             if isinstance(answer, Ok):
                 assert await answer.ok_value.settle(amount, fleet.clock.now()) == Ok(None)
@@ -210,7 +210,7 @@
         fleet.net.mend()
         await same_sums(fleet, spent)
 
-    on_fleet(story, disks=("b1",))
+    on_fleet(scenario, disks=("b1",))
 
 
 def test_a_host_that_dies_with_reservations_open_gives_their_money_back() -> None:
@@ -220,7 +220,7 @@
     the new incarnation, while a draw of the old one arrives late and gets nothing.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 300)
         assert await spend(fleet, "b1", "settled", 50) == Ok(None)
         await reserved(fleet, "b1", "open", 100)
@@ -237,14 +237,14 @@
         assert answer.kind == ErrorKind.CONFLICT
         assert await spend(fleet, "a1", "rest", 250) == Ok(None)
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_a_host_that_dies_after_its_charge_was_committed_bills_it_once() -> None:
     """The batch reaches the ledger, the host dies before the answer, and the request is
     retried on another host under its id."""
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 300)
         held = await reserved(fleet, "b1", "same-id", 100)
         settling = asyncio.create_task(held.settle(100, fleet.clock.now()))
@@ -256,17 +256,17 @@
         await same_sums(fleet, 100)
         assert await spend(fleet, "a1", "rest", 200) == Ok(None)
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_a_budget_of_one_request_serves_one() -> None:
     """All hosts get a request at once; the budget covers exactly one of them."""
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100)
         answers = await asyncio.gather(
             *(
-                host.allotments.reserve(ask(fleet, host.name, 100), fleet.clock.now())
+                host.allotments.reserve(make_request(fleet, host.name, 100), fleet.clock.now())
                 for host in fleet.host_by_name.values()
             )
         )
@@ -276,7 +276,7 @@
             ErrorKind.BUDGET_EXHAUSTED
         }
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_a_busy_budget_is_spent_to_its_last_unit_from_everywhere() -> None:
@@ -285,7 +285,7 @@
     No money is left while a request that it would cover is refused.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 5_000)
         spent = await asyncio.gather(
             *(spend_all(fleet, host, host, 7) for host in fleet.host_by_name)
@@ -294,7 +294,7 @@
         await same_sums(fleet, sum(spent))
         assert await refused(fleet, "a1", "last", 7) is ErrorKind.BUDGET_EXHAUSTED
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_a_draw_that_two_tasks_wait_for_is_granted_once() -> None:
@@ -304,7 +304,7 @@
     ledger's one answer; counted twice, this host would spend money that it does not hold.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 1_000)
         host = fleet.host_by_name["a1"]
         (await reserved(fleet, "a1", "first", 10)).release(fleet.clock.now())
@@ -315,7 +315,7 @@
         held = {one.holder.host: one.outstanding for one in fleet.sums("main").held}
         assert allotment.booked == held["a1"]
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_nothing_is_claimed_while_a_transfer_is_under_way() -> None:
@@ -324,7 +324,7 @@
     The ledger still books the amount to it. Were it claimed, both hosts would spend it.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 1_000)
         (await reserved(fleet, "b1", "one", 100)).release(fleet.clock.now())
         allotment = Allotment("main", "clerks", SpendPolicy(), settled_queue("b1"), 0.0)
@@ -334,7 +334,7 @@
         assert [claim.take_up(fleet.sums("main")) for claim in claims] == [0, 0]
         assert Claim(allotment).take_up(fleet.sums("main")) > 0
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def settled_queue(host: str) -> Any:
--- a/tests/budgets/test_partitions.py
+++ b/tests/budgets/test_partitions.py
@@ -7,15 +7,15 @@
 import pytest
 from result import Err, Ok
 
-from cranberrywall.budgets import KnownBudget, SpendPolicy
+from cranberrywall.budgets import BudgetAssignment, SpendPolicy
 from cranberrywall.budgets._allotments import CONTACT_EVERY_S
-from cranberrywall.budgets._messages_holders import UNSEEN_ALL_AFTER_S, unseen_share
+from cranberrywall.budgets._messages_holders import FULL_UNREPORTED_DELAY_S, unreported_share
 from cranberrywall.budgets.messages import LEDGER_CODEC, ConfirmDead, Holder
 from cranberrywall.errors import ErrorKind
 from tests.budgets.money_stories import (
     PLACES,
-    SOUTH_AWAY,
-    ask,
+    SOUTH_PARTITIONED,
+    make_request,
     on_fleet,
     refused,
     reserved,
@@ -41,11 +41,11 @@
     ledger bills each request once.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
-        fleet.net.cut(SOUTH_AWAY)
+        fleet.net.cut(SOUTH_PARTITIONED)
         # Until then, hosts without disks may spend and give a part only of what they hold.
-        await fleet.clock.sleep(UNSEEN_ALL_AFTER_S)
+        await fleet.clock.sleep(FULL_UNREPORTED_DELAY_S)
         south = await spend_all(fleet, "b1", "south", 20)
         await fleet.clock.sleep(7200.0)
         north = await spend_all(fleet, "a1", "north", 20)
@@ -58,7 +58,7 @@
         assert fleet.sums("main").charged > 9_900
         assert fleet.sums("main").in_doubt == 0
 
-    on_fleet(story, disks=("a1", "b1"))
+    on_fleet(scenario, disks=("a1", "b1"))
 
 
 def test_a_top_up_in_a_cut_is_spendable_at_once_where_the_ledger_is_in_reach() -> None:
@@ -68,9 +68,9 @@
     that there is none, and is served as soon as the cut is mended.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet, 1_000)
-        fleet.net.cut(SOUTH_AWAY)
+        fleet.net.cut(SOUTH_PARTITIONED)
         await spend_all(fleet, "b1", "south", 10)
         await spend_all(fleet, "a1", "north", 10)
         fleet.credit("main", 500)
@@ -80,7 +80,7 @@
         await fleet.clock.sleep(10.0)
         await spend(fleet, "b2", "back", 100)
 
-    on_fleet(story, disks=("a1", "b1"))
+    on_fleet(scenario, disks=("a1", "b1"))
 
 
 def test_a_refusal_says_exhausted_only_where_the_ledger_said_so() -> None:
@@ -90,14 +90,14 @@
     reached, since a top-up may have come.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100)
         await spend(fleet, "b1", "all", 100)
         assert await refused(fleet, "b1", "more", 10) is ErrorKind.BUDGET_EXHAUSTED
-        fleet.net.cut(SOUTH_AWAY)
+        fleet.net.cut(SOUTH_PARTITIONED)
         assert await refused(fleet, "b1", "cut", 10) is ErrorKind.BUDGET_UNREACHABLE
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_money_on_hosts_out_of_reach_is_not_called_exhausted() -> None:
@@ -106,13 +106,13 @@
     The north must not tell its callers that the budget is spent.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
-        fleet.net.cut(SOUTH_AWAY)
+        fleet.net.cut(SOUTH_PARTITIONED)
         await spend_all(fleet, "a1", "north", 10)
         assert await refused(fleet, "a1", "more", 10) is ErrorKind.BUDGET_UNREACHABLE
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_an_isolated_host_with_a_disk_spends_what_it_holds_through_a_restart() -> None:
@@ -122,7 +122,7 @@
     request is billed once and the new incarnation holds the money.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
         host = fleet.host_by_name["b1"]
         fleet.net.cut({"b1": 1})
@@ -139,7 +139,7 @@
         assert {one.holder.incarnation for one in sums.held if one.holder.host == "b1"} == {2}
         assert await spend(fleet, "b1", "mended", 20) == Ok(None)
 
-    on_fleet(story, disks=("b1",))
+    on_fleet(scenario, disks=("b1",))
 
 
 @pytest.mark.parametrize("isolated", ["refuse", "spend"])
@@ -152,7 +152,7 @@
     spend, it goes on, and the charges reach the ledger if it lives.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
         held = await reserved(fleet, "b1", "open", 20)
         fleet.net.cut({"b1": 1})
@@ -168,7 +168,7 @@
         assert fleet.sums("main").charged == 200 + (20 if isolated == "refuse" else 40)
         assert await spend(fleet, "b1", "mended", 20) == Ok(None)
 
-    on_fleet(story, policy=SpendPolicy(isolated=isolated))
+    on_fleet(scenario, policy=SpendPolicy(isolated=isolated))
 
 
 def test_hosts_without_disks_that_are_cut_off_together_keep_charges_for_each_other() -> None:
@@ -178,9 +178,9 @@
     the lost host's remainder come back to its successor.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
-        fleet.net.cut(SOUTH_AWAY)
+        fleet.net.cut(SOUTH_PARTITIONED)
         for number in range(5):
             assert await spend(fleet, "b1", f"kept-{number}", 20) == Ok(None)
         host = fleet.host_by_name["b1"]
@@ -193,7 +193,7 @@
         assert (sums.charged, sums.in_doubt) == (200 + 100, 0)
         assert all(one.outstanding == 0 for one in sums.held if one.holder == ("b1", 1))
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_a_late_copy_of_an_ended_run_is_refused() -> None:
@@ -203,7 +203,7 @@
     hold.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         from cranberrywall.budgets._peer_messages import KEEP, KeepRequest
         from cranberrywall.budgets.messages import Charge, Holder
         from tests.fakes.money import FakeLinks
@@ -220,7 +220,7 @@
         assert isinstance(answer, Err)
         assert answer.err_value.kind is ErrorKind.CONFLICT
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_a_place_that_is_lost_takes_with_it_only_what_it_held() -> None:
@@ -230,7 +230,7 @@
     be spent.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
         south = [host for host in fleet.host_by_name.values() if host.place == "south"]
         for host in south:
@@ -244,7 +244,7 @@
         rest = await spend_all(fleet, "a1", "rest", 10)
         assert 0 <= 10_000 - 200 - spent - rest < 10
 
-    on_fleet(story, disks=("b1", "b2", "b3"))
+    on_fleet(scenario, disks=("b1", "b2", "b3"))
 
 
 def test_hosts_that_are_back_after_long_do_not_free_what_they_may_have_spent() -> None:
@@ -254,7 +254,7 @@
     Nobody can prove that they did not, so their part stays booked until two persons decide.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
         south = [host for host in fleet.host_by_name.values() if host.place == "south"]
         for host in south:
@@ -274,7 +274,7 @@
         rest = await spend_all(fleet, "a1", "rest", 10)
         assert 0 <= 10_000 - 200 - spent - rest < 10
 
-    on_fleet(story, disks=("b1",))
+    on_fleet(scenario, disks=("b1",))
 
 
 async def spend_in_a_cut_and_lose_the_south(
@@ -286,7 +286,7 @@
     back has heard of its peers.
     """
     await warm_up(fleet)
-    fleet.net.cut(SOUTH_AWAY)
+    fleet.net.cut(SOUTH_PARTITIONED)
     spent = 200 + await spend_all(fleet, "b1", "cut", 50)
     south = [host for host in fleet.host_by_name.values() if host.place == "south"]
     for host in south:
@@ -331,15 +331,15 @@
     Hosts drew money only once they were asked for it, and then nobody on their side held any.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
-        fleet.known_budgets.append(KnownBudget("main", "clerks"))
+    async def scenario(fleet: MoneyFleet) -> None:
+        fleet.budget_assignments.append(BudgetAssignment("main", "clerks"))
         fleet.credit("main", 10_000)
         await fleet.clock.sleep(8.0)
-        fleet.net.cut(SOUTH_AWAY)
+        fleet.net.cut(SOUTH_PARTITIONED)
         await fleet.clock.sleep(3.0)
         assert await spend_all(fleet, "b1", "first", 20) > 3_000
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_a_host_that_is_cut_off_asks_its_peers_at_once() -> None:
@@ -349,19 +349,21 @@
     seconds, and waited for it longer than the callers do.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
-        fleet.net.cut(SOUTH_AWAY)
+        fleet.net.cut(SOUTH_PARTITIONED)
         await spend(fleet, "b1", "notices", 10)
         await fleet.clock.sleep(3.0)
         allotments = fleet.host_by_name["b1"].allotments
         usable = allotments.state()["largest"]["main"]["usable"]
         started_at = fleet.clock.now()
-        answer = await allotments.reserve(ask(fleet, "more", usable + 100, 1.0), started_at)
+        answer = await allotments.reserve(
+            make_request(fleet, "more", usable + 100, 1.0), started_at
+        )
         assert isinstance(answer, Ok), answer
         assert fleet.clock.now() - started_at < 0.5
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_what_a_host_gave_just_before_it_was_lost_is_not_spent_twice() -> None:
@@ -371,15 +373,15 @@
     its part, as it had no time to spend anything: but it had time to give, and the peer spends.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
-        for name in SOUTH_AWAY:
+        for name in SOUTH_PARTITIONED:
             await spend(fleet, name, f"heard-{name}", 10)
-        fleet.net.cut(SOUTH_AWAY)
+        fleet.net.cut(SOUTH_PARTITIONED)
         taker = fleet.host_by_name["b1"].allotments
         held = taker.state()["largest"]["main"]["spendable"]
         asked = asyncio.ensure_future(
-            taker.reserve(ask(fleet, "much", held + 500), fleet.clock.now())
+            taker.reserve(make_request(fleet, "much", held + 500), fleet.clock.now())
         )
         await fleet.clock.sleep(1.8)
         for name in ("b2", "b3"):
@@ -397,7 +399,7 @@
         await fleet.clock.sleep(30.0)
         assert 230 + north + south <= 10_000
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_a_request_that_runs_as_its_host_is_killed_is_paid_for() -> None:
@@ -407,7 +409,7 @@
     target, so that it is not spent a second time; the rest of the host's part comes back.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
         running = await reserved(fleet, "b2", "running", 500)
         assert await running.begin(fleet.clock.now()) == Ok(None)
@@ -421,9 +423,9 @@
         booked = [one for one in fleet.sums("main").held if one.holder.incarnation == 1]
         unseen = sum(one.outstanding for one in booked if one.holder.host.startswith("b"))
         assert 0 <= 10_000 - 200 - 500 - unseen - rest < 10
-        assert unseen <= 3 * unseen_share(CONTACT_EVERY_S + 0.01) * 10_000 / len(PLACES)
+        assert unseen <= 3 * unreported_share(CONTACT_EVERY_S + 0.01) * 10_000 / len(PLACES)
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_what_a_request_did_not_use_of_its_open_charge_can_be_spent() -> None:
@@ -432,7 +434,7 @@
     Another is given up by its caller while its charge is on the way, and costs nothing.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
         first = await reserved(fleet, "b2", "first", 900)
         assert await first.begin(fleet.clock.now()) == Ok(None)
@@ -448,7 +450,7 @@
         rest = await spend_all(fleet, "a1", "rest", 10)
         assert 0 <= 10_000 - 200 - 100 - rest < 10
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_after_a_loss_of_power_of_all_hosts_what_is_held_back_can_be_spent_and_then_the_rest() -> (
@@ -461,7 +463,7 @@
     are served from what the ledger held back; two persons who know better free the rest.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
         lost = {host.name: host.incarnation for host in fleet.host_by_name.values()}
         for host in fleet.host_by_name.values():
@@ -480,7 +482,7 @@
         rest = await spend_all(fleet, "a1", "rest", 10)
         assert 0.97 * left <= at_once + rest <= left
 
-    on_fleet(story, policy=SpendPolicy(held_back=0.5))
+    on_fleet(scenario, policy=SpendPolicy(held_back=0.5))
 
 
 def test_a_raise_just_before_a_cut_can_be_spent_in_it() -> None:
@@ -489,19 +491,19 @@
     They refused what the raise had paid for: hosts drew of it at their next review only.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
-        fleet.known_budgets.append(KnownBudget("main", "clerks", 1_000))
+    async def scenario(fleet: MoneyFleet) -> None:
+        fleet.budget_assignments.append(BudgetAssignment("main", "clerks", 1_000))
         fleet.credit("main", 1_000)
         await fleet.clock.sleep(12.0)
         # Just after a review, so that the next one comes too late.
-        fleet.known_budgets[:] = [KnownBudget("main", "clerks", 101_000)]
+        fleet.budget_assignments[:] = [BudgetAssignment("main", "clerks", 101_000)]
         fleet.credit("main", 100_000)
         await fleet.clock.sleep(2.0)
-        fleet.net.cut(SOUTH_AWAY)
-        await fleet.clock.sleep(UNSEEN_ALL_AFTER_S)
+        fleet.net.cut(SOUTH_PARTITIONED)
+        await fleet.clock.sleep(FULL_UNREPORTED_DELAY_S)
         assert await spend_all(fleet, "b1", "raised", 1_000) > 30_000
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_after_a_cut_with_much_lending_hosts_are_soon_in_touch_again() -> None:
@@ -510,14 +512,14 @@
     Each transfer was reported by itself, and nobody drew of the ledger before all were through.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
         fleet.net.cut(dict.fromkeys(fleet.host_by_name, 1))
         for turn in range(60):
             host = ("a1", "b1", "b2")[turn % 3]
             allotments = fleet.host_by_name[host].allotments
             usable = allotments.state()["largest"]["main"]["usable"]
-            request = ask(fleet, f"turn-{turn}", usable + 20, 0.3)
+            request = make_request(fleet, f"turn-{turn}", usable + 20, 0.3)
             answer = await allotments.reserve(request, fleet.clock.now())
             if isinstance(answer, Ok):
                 answer.ok_value.release(fleet.clock.now())
@@ -529,24 +531,24 @@
             group = one.allotments.state()["groups"]["ledger-0"]
             assert (group["in_reach"], group["transfers_to_report"]) == (True, 0)
 
-    on_fleet(story)
+    on_fleet(scenario)
 
 
 def test_two_hosts_that_are_short_at_once_do_not_swap_their_last_parts() -> None:
     """Two hosts hold 60 each and get a request of 100 at the same time. One of them is served."""
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 120)
         for host in ("a1", "b1"):
             (await reserved(fleet, host, f"{host}-first", 60)).release(fleet.clock.now())
         answers = await asyncio.gather(
             *(
                 fleet.host_by_name[host].allotments.reserve(
-                    ask(fleet, f"{host}-second", 100), fleet.clock.now()
+                    make_request(fleet, f"{host}-second", 100), fleet.clock.now()
                 )
                 for host in ("a1", "b1")
             )
         )
         assert sum(isinstance(answer, Ok) for answer in answers) == 1
 
-    on_fleet(story)
+    on_fleet(scenario)
--- a/tests/budgets/test_searches.py
+++ b/tests/budgets/test_searches.py
@@ -8,21 +8,21 @@
 from cranberrywall.budgets import make_ledger_machine
 from cranberrywall.budgets._peer_messages import TakeRequest
 from cranberrywall.errors import ErrorKind
-from tests.budgets.money_stories import ask, refused, reserved
+from tests.budgets.money_stories import make_request, refused, reserved
 from tests.fakes.clock import VirtualClock, run_virtual
 from tests.fakes.money import MoneyFleet
 
 HOSTS = [f"h{number}" for number in range(30)]
 
 
-def _on_many_hosts(story: Callable[[MoneyFleet], Awaitable[None]]) -> None:
+def _on_many_hosts(scenario: Callable[[MoneyFleet], Awaitable[None]]) -> None:
     async def main() -> None:
         places = dict.fromkeys(HOSTS, "north")
         fleet = MoneyFleet(places, make_ledger_machine(), VirtualClock(), random.Random(5))
         await fleet.start()
         # Each host's registration is committed.
         await fleet.clock.sleep(10.0)
-        await story(fleet)
+        await scenario(fleet)
         await fleet.stop()
 
     run_virtual(main())
@@ -35,17 +35,17 @@
     than the request may wait, and it was refused though the money was there.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 3000)
         for host in HOSTS:
             await reserved(fleet, host, f"small {host}", 1)
         fleet.net.delay_s = 0.02
         now = fleet.clock.now()
         allotments = fleet.host_by_name["h0"].allotments
-        answer = await allotments.reserve(ask(fleet, "large", 2700, patience_s=1.5), now)
+        answer = await allotments.reserve(make_request(fleet, "large", 2700, max_wait_s=1.5), now)
         assert isinstance(answer, Ok), answer
 
-    _on_many_hosts(story)
+    _on_many_hosts(scenario)
 
 
 def test_hosts_that_give_nothing_use_up_no_numbers() -> None:
@@ -55,7 +55,7 @@
     ledger would soon refuse this host's transfers as too far ahead of the missing ones.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100 * len(HOSTS))
         for host in HOSTS:
             await reserved(fleet, host, f"open {host}", 100)
@@ -72,7 +72,7 @@
         assert len(numbers) >= 8 * (len(HOSTS) - 1)
         assert max(numbers) <= len(HOSTS)
 
-    _on_many_hosts(story)
+    _on_many_hosts(scenario)
 
 
 def test_a_spent_budget_costs_one_read_a_refusal() -> None:
@@ -82,7 +82,7 @@
     both what is free and who holds the rest.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100)
         first = await reserved(fleet, "h1", "first", 100)
         assert await first.settle(100, fleet.clock.now()) == Ok(None)
@@ -93,7 +93,7 @@
             assert await refused(fleet, "h0", f"r{attempt}", 50) is ErrorKind.BUDGET_EXHAUSTED
             assert fleet.net.ledger_calls == before + 1
 
-    _on_many_hosts(story)
+    _on_many_hosts(scenario)
 
 
 def test_money_held_by_others_is_found_by_one_read() -> None:
@@ -102,7 +102,7 @@
     It used to draw, be refused, and then read who holds the money; now it reads at once.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100)
         open_ = await reserved(fleet, "h1", "open", 100)
         await refused(fleet, "h0", "before", 50)
@@ -113,7 +113,7 @@
         reads_and_transfers = fleet.net.ledger_calls - before
         assert reads_and_transfers == 2
 
-    _on_many_hosts(story)
+    _on_many_hosts(scenario)
 
 
 def test_hosts_that_were_only_refused_since_leave_the_ledger_alone() -> None:
@@ -123,7 +123,7 @@
     they had served before; two hundred hosts did so at the end of each busy budget.
     """
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100)
         for host, amount in (("h0", 40), ("h1", 60)):
             reservation = await reserved(fleet, host, f"all {host}", amount)
@@ -134,7 +134,7 @@
         await fleet.clock.sleep(200.0)
         assert fleet.net.ledger_calls == before
 
-    _on_many_hosts(story)
+    _on_many_hosts(scenario)
 
 
 def test_small_shares_are_held_and_not_drawn_for_each_request() -> None:
@@ -148,7 +148,7 @@
         reservation = await reserved(fleet, host, id_, 10)
         assert await reservation.settle(5, fleet.clock.now()) == Ok(None)
 
-    async def story(fleet: MoneyFleet) -> None:
+    async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 50 * len(HOSTS))
         for turn in range(3):
             for host in HOSTS:
@@ -160,4 +160,4 @@
         await fleet.clock.sleep(1.0)
         assert fleet.net.ledger_calls - fleet.net.charge_calls - before < len(HOSTS)
 
-    _on_many_hosts(story)
+    _on_many_hosts(scenario)
--- a/tests/budgets/test_silence.py
+++ b/tests/budgets/test_silence.py
@@ -1,6 +1,6 @@
 """Bound the silence of a lost run where its machine's steady clock began anew."""
 
-from cranberrywall.budgets._ledger_silence import Heard, Silences
+from cranberrywall.budgets._ledger_contact_gaps import Heard, Silences
 from cranberrywall.budgets.messages import Contact, Holder
 
 OTHERS = ("b", "c", "d", "e")
--- a/tests/budgets/test_totals.py
+++ b/tests/budgets/test_totals.py
@@ -1,6 +1,6 @@
 """Credit budgets up to the totals of the configuration."""
 
-from cranberrywall.budgets import BudgetTotal, CreditRaiser, make_ledger_machine
+from cranberrywall.budgets import BudgetTotal, CreditUpdater, make_ledger_machine
 from cranberrywall.budgets.messages import (
     LEDGER_CODEC,
     BudgetQuery,
@@ -38,10 +38,10 @@
 
 
 def test_a_new_leader_credits_what_its_predecessor_had_no_time_to() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         group = FakeGroup("ledger-0", make_ledger_machine)
         totals = [total(100)]
-        raiser = CreditRaiser([group], lambda: totals, VirtualClock())
+        raiser = CreditUpdater([group], lambda: totals, VirtualClock())
         group.is_leader = False
         await raiser.raise_missing()
         assert credited(group) == 0
@@ -57,4 +57,4 @@
         await raiser.raise_missing()
         assert credited(group) == 300
 
-    run_virtual(story())
+    run_virtual(scenario())
--- a/tests/budgets/test_unseen.py
+++ b/tests/budgets/test_unseen.py
@@ -9,7 +9,7 @@
 from cranberrywall.budgets import SpendPolicy
 from cranberrywall.budgets._allotment import Allotment
 from cranberrywall.budgets._charges import ChargeQueue
-from cranberrywall.budgets._messages_holders import UNSEEN_ALL_AFTER_S, unseen_share
+from cranberrywall.budgets._messages_holders import FULL_UNREPORTED_DELAY_S, unreported_share
 from cranberrywall.budgets.messages import (
     Charge,
     ChargeBatch,
@@ -104,7 +104,7 @@
         assert [(one.is_detached, one.unseen) for one in told] == [(False, (("main", 5),))]
         assert allotment.usable < HELD // 4
         # As much as the bound allows after three seconds: it may be spent then, and no sooner.
-        amount = int(unseen_share(3.0) * HELD) - 15 - 5
+        amount = int(unreported_share(3.0) * HELD) - 15 - 5
         allotment.spendable -= amount
         allotment.reserved += amount
         allotment.open(amount)
@@ -135,7 +135,7 @@
         allotment.got_unseen(100, clock.now())
         allotment.granted(100)
         assert allotment.usable >= 100
-        await clock.sleep(UNSEEN_ALL_AFTER_S)
+        await clock.sleep(FULL_UNREPORTED_DELAY_S)
         assert allotment.usable == allotment.spendable == HELD - at_once + 100
 
     run_virtual(main())
@@ -152,7 +152,7 @@
     async def main() -> None:
         clock = VirtualClock()
         queue, allotment = make_queue(OneByOne([]), clock)
-        queue.reach.note_answered(queue.contact())
+        queue.reach.record_answer(queue.contact())
         queue.reach.lose()
         await clock.sleep(1.0)
         spent = allotment.usable
@@ -163,7 +163,7 @@
         contact = queue.contact()
         queue.reach.lose()
         assert allotment.usable == 0
-        queue.reach.note_answered(contact)
+        queue.reach.record_answer(contact)
         assert allotment.usable > 0
 
     run_virtual(main())
--- a/tests/callers/test_draining.py
+++ b/tests/callers/test_draining.py
@@ -12,10 +12,10 @@
     async with Fleet() as fleet:
         await fleet.engine()
         entry = await fleet.entry()
-        assert entry.stack.quiet_for(fleet.clock.now()) == float("inf")
+        assert entry.stack.idle_duration_s(fleet.clock.now()) == float("inf")
         _, headers, _ = await fleet.post(entry, chat())
         assert "Connection" not in headers
         entry.stack.start_draining()
         status, headers, _ = await fleet.post(entry, chat())
         assert (status, headers["Connection"]) == (200, "close")
-        assert entry.stack.quiet_for(fleet.clock.now()) < 60
+        assert entry.stack.idle_duration_s(fleet.clock.now()) < 60
--- a/tests/callers/test_limits.py
+++ b/tests/callers/test_limits.py
@@ -40,7 +40,9 @@
 async def fleet():
     async with Fleet() as made:
         await made.engine()
-        await made.entry(caller_limits=CallerLimits(bodies=BodyLimits(1_000_000, 0.2), stall_s=0.1))
+        await made.entry(
+            caller_limits=CallerLimits(bodies=BodyLimits(1_000_000, 0.2), write_timeout_s=0.1)
+        )
         yield made
 
 
@@ -146,7 +148,7 @@
     async with Fleet() as fleet:
         engine = ScriptedEngine(script(*((number, long_text) for number in range(90)), "end"))
         await fleet.target(engine.app)
-        entry = await fleet.entry(caller_limits=CallerLimits(stall_s=0.2))
+        entry = await fleet.entry(caller_limits=CallerLimits(write_timeout_s=0.2))
         host, port = entry.url.removeprefix("http://").split(":")
         small = socket.socket()
         small.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
--- a/tests/commands/test_ctl_quarantine.py
+++ b/tests/commands/test_ctl_quarantine.py
@@ -6,7 +6,7 @@
 from cranberrywall.quarantine import (
     QUARANTINE,
     Quarantine,
-    RunWatch,
+    RunTracker,
     fingerprint_of,
     register_quarantine,
 )
@@ -14,7 +14,7 @@
 from tests.commands.fleets import CtlFleet, configured_fleet, serve_dump
 from tests.fakes.clock import ManualClock
 from tests.fakes.spread import MemorySpread
-from tests.quarantine.scene import ToldNetwork
+from tests.quarantine.scene import ScriptedNetwork
 
 ENTRY_1, ENTRY_2 = "127.0.0.21:17301", "127.0.0.22:17302"
 BAD = fingerprint_of("desk", "/letters/1", b"bad")
@@ -25,9 +25,9 @@
 
     def __init__(self, fleet: CtlFleet) -> None:
         clock: Any = ManualClock()
-        network: Any = ToldNetwork()
-        watch = RunWatch(make_targets(), network, clock)
-        self.quarantine = Quarantine("entry-1", watch, MemorySpread(), clock)
+        network: Any = ScriptedNetwork()
+        tracker = RunTracker(make_targets(), network, clock)
+        self.quarantine = Quarantine("entry-1", tracker, MemorySpread(), clock)
         register_quarantine(self, self.quarantine)
         fleet.caller.handler_by_address[ENTRY_1, QUARANTINE.name] = self.answer
 
--- a/tests/control/hosts.py
+++ b/tests/control/hosts.py
@@ -8,7 +8,7 @@
 from cranberrywall.budgets import LedgerClient, make_ledger_client, make_ledger_machine
 from cranberrywall.control import ControlHost, make_control_client, make_control_host
 from cranberrywall.links import LinkCaller, Peer, make_caller, make_link_server
-from cranberrywall.replication import GroupSettings, founders_of
+from cranberrywall.replication import GroupSettings, initial_members_of
 from cranberrywall.runtime import Runtime
 from tests.fakes.clock import VirtualClock, run_virtual
 from tests.fakes.network import FakeFabric, Rule
@@ -49,7 +49,7 @@
         server = make_link_server(network, self.clock, self.address_by_host[host], KEY, peer)
         control = make_control_host(
             host,
-            founders_of(self.address_by_host, host),
+            initial_members_of(self.address_by_host, host),
             {"ledger-0": make_ledger_machine()},
             runtime,
             self._make_caller(host, ip),
--- a/tests/control/test_enrolment.py
+++ b/tests/control/test_enrolment.py
@@ -91,7 +91,7 @@
             del controls.reply_by_address[address]
         answered = [await contacts.enrol_once() for _ in range(8)]
         assert any(answered)
-        assert contacts.heard_lately(clock.now())
+        assert contacts.is_recently_seen(clock.now())
         assert list(contacts.addresses()) == [*others, *seeds]
 
     run_virtual(story())
--- a/tests/control/test_storage_watch.py
+++ b/tests/control/test_storage_watch.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cranberrywall.control import StorageWatch
+from cranberrywall.control import StorageMonitor
 from cranberrywall.errors import ErrorKind, Refusal
 from tests.fakes.clock import VirtualClock, run_virtual
 from tests.fakes.storage import FakeStorage
@@ -53,7 +53,7 @@
             group.failure = None
 
         started_at = clock.now()
-        watch = StorageWatch([group], storage, clock, restart)
+        watch = StorageMonitor([group], storage, clock, restart)
         task = asyncio.create_task(watch.run())
         await clock.sleep(2 * FULL_FOR_S)
         task.cancel()
--- a/tests/docs/test_http.py
+++ b/tests/docs/test_http.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from cranberrywall.callers import BodyLimits, CallerLimits
-from cranberrywall.callers._services import _PASSED_HEADERS
+from cranberrywall.callers._services import _FORWARDED_HEADERS
 from cranberrywall.requests._service_client import MAX_ANSWER_BYTES
 from cranberrywall.targets import ANNOUNCE_PATH
 from tests.requests.fleet import Fleet, chat, headers
@@ -41,8 +41,8 @@
 
 
 def test_the_page_gives_the_limits_in_force() -> None:
-    for header in _PASSED_HEADERS:
+    for header in _FORWARDED_HEADERS:
         assert f"`{header.title()}`" in PAGE
-    assert f"{BodyLimits().read_s:g} s to arrive" in PAGE
-    assert f"is cut off after {CallerLimits().stall_s:g} s" in PAGE
+    assert f"{BodyLimits().read_timeout_s:g} s to arrive" in PAGE
+    assert f"is cut off after {CallerLimits().write_timeout_s:g} s" in PAGE
     assert f"| {MAX_ANSWER_BYTES // 2**20} MiB |" in PAGE
--- a/tests/entry/test_revisions.py
+++ b/tests/entry/test_revisions.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from cranberrywall.configuration import SpreadTimes
-from cranberrywall.entry import LivePeers, carry_revisions
+from cranberrywall.entry import LivePeers, gossip_revisions
 from cranberrywall.hosts import HostState, HostView, Item, make_static_membership
 from measurements._configuration_fleet import Fleet
 from tests.configuration.documents import place_edit
@@ -40,7 +40,7 @@
         await fleet.start()
         items = SharedItems()
         for entry in fleet.entries:
-            carry_revisions(items, entry.configuration, entry.follower, entry.me.links)
+            gossip_revisions(items, entry.configuration, entry.follower, entry.me.links)
         deaf = fleet.entries[2]
         feed: Any = deaf.follower._feed
         feed.note = lambda heard: None
--- a/tests/entry/test_standstill.py
+++ b/tests/entry/test_standstill.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from cranberrywall.entry import Standstill
+from cranberrywall.entry import StallDetector
 from tests.fakes.clock import ManualClock, settle
 
 
@@ -23,7 +23,7 @@
 async def test_requests_that_waited_through_a_freeze_are_held_until_the_host_caught_up() -> None:
     clock = ManualClock()
     catch_up = CatchUp(clock)
-    standstill = Standstill(clock, catch_up)
+    standstill = StallDetector(clock, catch_up)
     await standstill.settle(clock.now(), clock.wall())
     assert not catch_up.begun
     clock.step(4.0)
@@ -43,7 +43,7 @@
     """The steady clock does not count the time in which a machine was suspended."""
     clock = ManualClock()
     catch_up = CatchUp(clock)
-    standstill = Standstill(clock, catch_up)
+    standstill = StallDetector(clock, catch_up)
     clock.wall_offset = 5.0
     waiting = asyncio.create_task(standstill.settle(clock.now(), clock.wall()))
     await settle()
@@ -55,7 +55,7 @@
 async def test_a_host_that_looks_at_the_time_as_it_means_to_holds_nothing() -> None:
     clock = ManualClock()
     catch_up = CatchUp(clock)
-    standstill = Standstill(clock, catch_up)
+    standstill = StallDetector(clock, catch_up)
     looking = asyncio.create_task(standstill.run())
     await clock.advance(30.0)
     await standstill.settle(clock.now(), clock.wall())
--- a/tests/entry/test_thin_lines.py
+++ b/tests/entry/test_thin_lines.py
@@ -41,4 +41,4 @@
 
 def suspicions(fleet: ConfirmedFleet) -> list[int]:
     """Return how often each host suspected another."""
-    return [entry.ties.membership.state()["suspicions"] for entry in fleet.entries]
+    return [entry.connections.membership.state()["suspicions"] for entry in fleet.entries]
--- a/tests/fakes/money.py
+++ b/tests/fakes/money.py
@@ -11,9 +11,9 @@
 from result import Err, Ok, Result
 
 from cranberrywall.budgets import (
+    BudgetAssignment,
     EntryHost,
     HostAllotments,
-    KnownBudget,
     SpendPolicy,
     make_allotments,
     make_ledger_client,
@@ -215,11 +215,11 @@
 class FakePolicies:
     """Give every workspace the same policy."""
 
-    def __init__(self, policy: SpendPolicy, budgets: Sequence[KnownBudget] = ()) -> None:
+    def __init__(self, policy: SpendPolicy, budgets: Sequence[BudgetAssignment] = ()) -> None:
         self.policy = policy
         self._budgets = budgets
 
-    def known_budgets(self) -> Sequence[KnownBudget]:
+    def budget_assignments(self) -> Sequence[BudgetAssignment]:
         """Return the budgets that the fleet's configuration names."""
         return self._budgets
 
@@ -227,7 +227,7 @@
         """Return the one policy."""
         return self.policy
 
-    def spends_alone(self) -> bool:
+    def allows_isolated_spend(self) -> bool:
         """Say whether the one policy lets a host spend that is alone."""
         return self.policy.isolated == "spend"
 
@@ -258,7 +258,7 @@
             make_ledger_client(FakeControl(fleet.net, self.name), 1),
             self,
             self.entry_hosts,
-            FakePolicies(fleet.policy, fleet.known_budgets),
+            FakePolicies(fleet.policy, fleet.budget_assignments),
             links,
             links,
             Runtime(self.clock, fleet.no_network, fleet.random, self.storage),
@@ -313,7 +313,7 @@
         self.random = random
         self.policy = policy or SpendPolicy()
         self.net = MoneyNet(machine, clock)
-        self.known_budgets: list[KnownBudget] = []
+        self.budget_assignments: list[BudgetAssignment] = []
         self.no_network: Any = None
         self._credits = 0
         self.host_by_name = {
--- a/tests/forwarding/scripted.py
+++ b/tests/forwarding/scripted.py
@@ -15,7 +15,7 @@
 from cranberrywall.forwarding import Arrival, Forwarder, Generation, Headers
 from cranberrywall.observability import make_metrics
 from cranberrywall.platform._dialect import TargetDialect
-from cranberrywall.quarantine import Quarantine, RunWatch
+from cranberrywall.quarantine import Quarantine, RunTracker
 from cranberrywall.rates import RateNotice
 from cranberrywall.routing import Demand, Outcome
 from cranberrywall.runtime import make_clock, make_network
@@ -73,7 +73,7 @@
         self.is_cut = False
 
     @property
-    def has_begun(self) -> bool:
+    def has_started(self) -> bool:
         return self.status != 0
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
@@ -82,7 +82,7 @@
         self.is_whole = True
 
     async def begin(self, status: int, headers: Headers) -> None:
-        assert not self.has_begun
+        assert not self.has_started
         self.status = status
         self.headers = dict(headers)
 
@@ -92,7 +92,7 @@
     async def finish(self) -> None:
         self.is_whole = True
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         self.is_cut = True
 
 
@@ -107,21 +107,21 @@
     def is_offered(self) -> bool:
         return self.target_id not in self._router.left
 
-    def first_token(self, now: float) -> None:
+    def record_first_token(self, now: float) -> None:
         pass
 
-    def loaded(self, running: int, waiting: int, now: float) -> None:
+    def record_load(self, running: int, waiting: int, now: float) -> None:
         pass
 
-    def rate_named(self, notice: RateNotice, is_served: bool, request_id: str, now: float) -> None:
+    def record_rate(self, notice: RateNotice, is_served: bool, request_id: str, now: float) -> None:
         pass
 
-    def backoff_asked(self, field: DecimalField, request_id: str, now: float) -> None:
+    def record_backoff(self, field: DecimalField, request_id: str, now: float) -> None:
         if field.number is not None:
             self._router.backoffs.append((self.target_id, field.number))
 
-    def said_leaving(self, request_id: str, now: float) -> None:
-        self._router.said_leaving.add(self.target_id)
+    def announced_leaving(self, request_id: str, now: float) -> None:
+        self._router.announced_leaving.add(self.target_id)
 
     def finish(self, outcome: Outcome, now: float) -> None:
         self._router.ended.append(outcome)
@@ -136,7 +136,7 @@
         self.ended: list[Outcome] = []
         self.left: set[str] = set()
         self.backoffs: list[tuple[str, float]] = []
-        self.said_leaving: set[str] = set()
+        self.announced_leaving: set[str] = set()
 
     async def may_send_again(self, url: str, rank: int, workspace: str) -> bool:
         return True
@@ -164,8 +164,8 @@
         self.money = MemoryAllotments(MemoryLedger(), BUDGET)
         self.router = InOrder()
         self.targets = make_targets()
-        watch = RunWatch(self.targets, make_network(), make_clock())
-        self.quarantine = Quarantine("entry-1", watch, MemorySpread(), make_clock())
+        tracker = RunTracker(self.targets, make_network(), make_clock())
+        self.quarantine = Quarantine("entry-1", tracker, MemorySpread(), make_clock())
         self.seen: list[tuple[str, Mapping[str, str]]] = []
         self._runners: list[web.AppRunner] = []
         self._document = document
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -57,7 +57,7 @@
         await scene.target("a", breaks_off())
         await scene.target("b", answers())
         reply, result = await scene.serve()
-        assert not reply.has_begun
+        assert not reply.has_started
         assert result.unwrap_err().kind is ErrorKind.OUTCOME_UNKNOWN
         assert len(scene.seen) == 1
 
@@ -107,7 +107,7 @@
 
 
 async def test_an_answer_that_ends_early_does_not_look_whole() -> None:
-    async def cut(request: web.Request) -> web.StreamResponse:
+    async def abort(request: web.Request) -> web.StreamResponse:
         await request.read()
         headers = {"X-Request-Id": request.headers["X-Request-Id"], "Content-Length": "100"}
         response = web.StreamResponse(headers=headers)
@@ -118,9 +118,9 @@
         return response
 
     async with Scene(kind="non_idempotent") as scene:
-        await scene.target("a", cut)
+        await scene.target("a", abort)
         reply, result = await scene.serve()
-        assert not reply.has_begun
+        assert not reply.has_started
         assert result.unwrap_err().kind is ErrorKind.OUTCOME_UNKNOWN
 
 
@@ -313,7 +313,7 @@
         reply, _ = await scene.serve()
         assert reply.status == 200
         second = scene.router.demands[1]
-        assert (second.retry, second.again) == (False, True)
+        assert (second.retry, second.is_resend) == (False, True)
 
 
 async def test_a_host_whose_every_connection_fails_gives_up() -> None:
--- a/tests/forwarding/test_notices.py
+++ b/tests/forwarding/test_notices.py
@@ -19,7 +19,7 @@
         await scene.target("b", answers(503, **said))
         await scene.serve()
         assert scene.router.backoffs[0] == ("a", 2.5)
-        assert "a" in scene.router.said_leaving
+        assert "a" in scene.router.announced_leaving
 
 
 @pytest.mark.parametrize("status", [200, 204, 404, 429, 500, 502])
@@ -30,7 +30,7 @@
         await scene.target("a", answers(status, **SAID))
         await scene.serve()
         assert scene.router.backoffs == []
-        assert scene.router.said_leaving == {"a"}
+        assert scene.router.announced_leaving == {"a"}
 
 
 async def test_the_head_of_a_stream_says_that_its_target_leaves() -> None:
@@ -38,7 +38,7 @@
         await scene.target("a", answers(200, b"id: 1\ndata: x\n\n", **SAID))
         reply, _ = await scene.serve()
         assert reply.is_whole
-        assert scene.router.said_leaving == {"a"}
+        assert scene.router.announced_leaving == {"a"}
 
 
 async def test_what_another_target_says_at_the_address_is_not_read() -> None:
@@ -48,7 +48,7 @@
         await scene.target("b", answers())
         await scene.serve()
         assert scene.router.backoffs == []
-        assert scene.router.said_leaving == set()
+        assert scene.router.announced_leaving == set()
 
 
 async def test_an_answer_to_another_request_is_not_read() -> None:
--- a/tests/hosts/fleet.py
+++ b/tests/hosts/fleet.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable, Iterable, Iterator
 from typing import Any
 
-from cranberrywall.hosts import HostState, Item, LiveMembership, Pace, make_membership
+from cranberrywall.hosts import HostState, Item, LiveMembership, MembershipTimings, make_membership
 from cranberrywall.hosts._entries import Entry, HostRecord, HostVersion
 from cranberrywall.links import LinkCaller, LinkServer, Peer, make_caller, make_link_server
 from tests.fakes.clock import VirtualClock, run_virtual
@@ -40,11 +40,11 @@
     """Start, crash and cut hosts, and ask what they believe."""
 
     def __init__(
-        self, sizes: dict[str, int], rule: Rule | None = None, pace: Pace | None = None
+        self, sizes: dict[str, int], rule: Rule | None = None, pace: MembershipTimings | None = None
     ) -> None:
         self.clock = VirtualClock()
         self.fabric = FakeFabric(self.clock, random.Random(3), rule)
-        self.pace = pace or Pace()
+        self.pace = pace or MembershipTimings()
         self.host_by_name: dict[str, Host] = {}
         for number, (place, size) in enumerate(sizes.items(), start=1):
             for index in range(1, size + 1):
@@ -139,7 +139,7 @@
     sizes: dict[str, int],
     test: Callable[[Fleet], Awaitable[None]],
     rule: Rule | None = None,
-    pace: Pace | None = None,
+    pace: MembershipTimings | None = None,
     join_s: float = 5.0,
 ) -> None:
     """Run ``test`` in a fleet that has come together."""
--- a/tests/hosts/test_membership.py
+++ b/tests/hosts/test_membership.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from cranberrywall.hosts import HostState, Pace
+from cranberrywall.hosts import HostState, MembershipTimings
 from cranberrywall.observability import make_metrics
 from tests.fakes.network import Rule
 from tests.hosts.fleet import TODAY, Fleet, Host, but, in_fleet
@@ -56,7 +56,7 @@
 
     async def test(fleet: Fleet):
         leaver = fleet["kranj-1"]
-        witness = fleet["domzale-1"].membership.spread
+        witness = fleet["domzale-1"].membership.gossip
         old = [item for item in witness.items("host") if item.key == "kranj-1"]
         leaver.membership.leave()
         await fleet.clock.sleep(0.1)
@@ -79,12 +79,12 @@
 def test_a_wrong_suspicion_is_refuted_before_it_kills():
     async def test(fleet: Fleet):
         [said] = [
-            item for item in fleet["kranj-1"].membership.spread.items("host")
+            item for item in fleet["kranj-1"].membership.gossip.items("host")
             if item.key == "domzale-1"
         ]  # fmt: skip
         for verdict in (1, 2):
             judged = said._replace(version=(*said.version[:3], verdict))
-            fleet["kranj-1"].membership.spread.publish(judged)
+            fleet["kranj-1"].membership.gossip.publish(judged)
             await fleet.clock.sleep(1)
             assert fleet.all_alive()
 
@@ -244,8 +244,8 @@
             part._clock = clock
         # What a stopped process does not read is held by the cut.
         fleet.cut([frozen], others)
-        [said] = [item for item in frozen.membership.spread.items("host") if item.key == "kranj-2"]
-        frozen.membership.spread.publish(said._replace(version=(*said.version[:3], 1)))
+        [said] = [item for item in frozen.membership.gossip.items("host") if item.key == "kranj-2"]
+        frozen.membership.gossip.publish(said._replace(version=(*said.version[:3], 1)))
         await fleet.clock.sleep(0.3)
         clock.skip(60.0)
         await fleet.clock.sleep(0.6)
@@ -257,7 +257,7 @@
         assert "dead" not in state["changes"]
         assert fleet.all_alive()
 
-    in_fleet(TODAY, test, pace=Pace(period=0.1))
+    in_fleet(TODAY, test, pace=MembershipTimings(period=0.1))
 
 
 class _StoppableClock:
@@ -281,8 +281,8 @@
 def test_a_second_process_under_a_name_is_noticed():
     async def test(fleet: Fleet):
         first = fleet["kranj-1"].membership
-        [said] = [item for item in first.spread.items("host") if item.key == "kranj-1"]
-        fleet["kranj-2"].membership.spread.publish(said._replace(version=(99, 0, 1, 0)))
+        [said] = [item for item in first.gossip.items("host") if item.key == "kranj-1"]
+        fleet["kranj-2"].membership.gossip.publish(said._replace(version=(99, 0, 1, 0)))
         await fleet.clock.sleep(1)
         assert first.is_superseded
         assert not fleet["kranj-2"].membership.is_superseded
--- a/tests/hosts/test_spread.py
+++ b/tests/hosts/test_spread.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cranberrywall.hosts import Item, Pace, Urgency
+from cranberrywall.hosts import Item, MembershipTimings, Urgency
 from tests.hosts.fleet import TODAY, Fleet, but, in_fleet
 
 
@@ -10,15 +10,15 @@
     async def test(fleet: Fleet):
         item = Item("target", "engine-1", (1, 0, 5), b"here", "town-hall", Urgency.NORMAL)
         everywhere = Item("target", "engine-2", (1, 1, 6), b"gone", urgency=Urgency.URGENT)
-        source = fleet["town-hall-1"].membership.spread
+        source = fleet["town-hall-1"].membership.gossip
         source.publish(item)
         source.publish(everywhere)
         await fleet.clock.sleep(0.2)
         for host in fleet:
-            assert everywhere in host.membership.spread.items("target")
+            assert everywhere in host.membership.gossip.items("target")
         await fleet.clock.sleep(15)
         for host in fleet:
-            held = item in host.membership.spread.items("target")
+            held = item in host.membership.gossip.items("target")
             assert held == (host.place == "town-hall")
 
     in_fleet({"town-hall": 20, "kolonnawa": 20}, test)
@@ -48,7 +48,7 @@
     async def test(fleet: Fleet):
         source = fleet["kranj-1"].membership
         for number in range(2000):
-            source.spread.publish(
+            source.gossip.publish(
                 Item("target", f"engine-{number}", (1, 1), bytes(60), urgency=Urgency.URGENT)
             )
         await fleet.clock.sleep(2)
@@ -56,20 +56,20 @@
         assert source.state()["pushed_bytes"] <= 40_000 + 2.1 * 16_000
         await fleet.clock.sleep(30)
         for host in fleet:
-            assert len(host.membership.spread.items("target")) == 2000
+            assert len(host.membership.gossip.items("target")) == 2000
 
-    in_fleet(TODAY, test, pace=Pace(push_burst_bytes=40_000))
+    in_fleet(TODAY, test, pace=MembershipTimings(push_burst_bytes=40_000))
 
 
 def test_what_is_gone_is_forgotten():
     async def test(fleet: Fleet):
         await fleet.crash(fleet["kranj-2"])
         source = fleet["kranj-1"].membership
-        source.spread.publish(Item("target", "engine-1", (1,), b""))
+        source.gossip.publish(Item("target", "engine-1", (1,), b""))
         await fleet.clock.sleep(10)
         before = source.state()["items"]
         await fleet.clock.sleep(40)
         assert fleet.states_of("kranj-2", but(fleet, "kranj-2")) == {None}
         assert source.state()["items"] == before - 3
 
-    in_fleet(TODAY, test, pace=Pace(forget_after=30.0))
+    in_fleet(TODAY, test, pace=MembershipTimings(forget_after=30.0))
--- a/tests/naive/routers.py
+++ b/tests/naive/routers.py
@@ -27,19 +27,19 @@
         self.target_id = announcement.target
         self.url = announcement.url
 
-    def first_token(self, now: float) -> None:
+    def record_first_token(self, now: float) -> None:
         pass
 
-    def loaded(self, running: int, waiting: int, now: float) -> None:
+    def record_load(self, running: int, waiting: int, now: float) -> None:
         pass
 
-    def rate_named(self, notice: RateNotice, is_served: bool, request_id: str, now: float) -> None:
+    def record_rate(self, notice: RateNotice, is_served: bool, request_id: str, now: float) -> None:
         pass
 
-    def backoff_asked(self, field: DecimalField, request_id: str, now: float) -> None:
+    def record_backoff(self, field: DecimalField, request_id: str, now: float) -> None:
         pass
 
-    def said_leaving(self, request_id: str, now: float) -> None:
+    def announced_leaving(self, request_id: str, now: float) -> None:
         pass
 
     def finish(self, outcome: Outcome, now: float) -> None:
--- a/tests/platform/test_arrivals.py
+++ b/tests/platform/test_arrivals.py
@@ -33,7 +33,7 @@
 def test_a_request_is_decoded_once() -> None:
     made = arrival()
     assert (made.host, made.path, made.key) == ("a.example", "/a/b%2Fc?d=%20", "key-1")
-    assert (made.patience_s, made.last_event) == (0.6, 12)
+    assert (made.max_wait_s, made.last_event) == (0.6, 12)
     assert made.generation is not None
     assert made.generation.bound == 1540
     assert made.generation.parts == (PromptPart("5c1e", 800), PromptPart("91bd", 410))
@@ -91,11 +91,11 @@
 def test_heads_of_answers_are_read() -> None:
     read = TargetDialect().read_head
     head = read(200, (("X-Request-Id", "9c41"), ("X-Server-Load", "3,0,8")))
-    assert (head.request_id, head.not_run, head.is_other) == ("9c41", False, False)
+    assert (head.request_id, head.not_run, head.is_wrong_target) == ("9c41", False, False)
     assert head.load is not None
     assert head.load.slots == 8
     assert read(503, (("X-Not-Run", "1"),)).not_run
-    assert read(421, ()).is_other
+    assert read(421, ()).is_wrong_target
     assert read(200, (("X-Server-Load", "many"),)).load is None
     assert read(503, (("Retry-After", "2.5"),)).backoff.number == 2.5
     assert read(503, (("Retry-After", "3"), ("Retry-After", "9"))).backoff.unreadable == "3 and 9"
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from cranberrywall.budgets._messages_holders import UNSEEN_ALL_AFTER_S
+from cranberrywall.budgets._messages_holders import FULL_UNREPORTED_DELAY_S
 from standins._platform import Platform, Worker, configuration, route
 
 PREPAID = 100_000
@@ -122,7 +122,7 @@
         at_once = await platform.ask(front, "/letters/1", X_Token_Counts=TOKENS)
         assert at_once.status == 200
         # What may be spent out of control's sight rises with the silence.
-        await asyncio.sleep(UNSEEN_ALL_AFTER_S / 2)
+        await asyncio.sleep(FULL_UNREPORTED_DELAY_S / 2)
         statuses: list[int] = []
         while not statuses or statuses[-1] == 200:
             answer = await platform.ask(front, "/letters/1", X_Token_Counts="1000,24")
--- a/tests/quarantine/fleet.py
+++ b/tests/quarantine/fleet.py
@@ -3,11 +3,18 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from cranberrywall.quarantine import Fingerprint, Quarantine, Run, RunEnd, RunWatch, fingerprint_of
+from cranberrywall.quarantine import (
+    Fingerprint,
+    Quarantine,
+    Run,
+    RunEnd,
+    RunTracker,
+    fingerprint_of,
+)
 from cranberrywall.targets import Targets, make_targets
 from tests.fakes.clock import VirtualClock, run_virtual
 from tests.fakes.spread import MemorySpread
-from tests.quarantine.scene import ToldNetwork, announcement
+from tests.quarantine.scene import ScriptedNetwork, announcement
 
 SOON_S = 0.3
 """Hosts have told each other, and weighed what they heard, after so long."""
@@ -24,17 +31,17 @@
         self.name = name
         self.fleet = fleet
         self.targets: Targets = make_targets()
-        self.spread = MemorySpread()
+        self.gossip = MemorySpread()
         self.stopped: list[str] = []
         network: Any = fleet.network  # of a network, only dialling is there
-        watch = RunWatch(self.targets, network, fleet.clock)
-        self.quarantine = Quarantine(name, watch, self.spread, fleet.clock)
+        tracker = RunTracker(self.targets, network, fleet.clock)
+        self.quarantine = Quarantine(name, tracker, self.gossip, fleet.clock)
         for port in fleet.ports:
             self.targets.apply(announcement(f"t{port}", port), fleet.clock.now())
 
     def send(self, request: str, target: int, answered: bool = True) -> Run:
         """Send a request to a target, which begins to answer at once unless told otherwise."""
-        run = self.quarantine.watch.begin(request, f"t{target}", named(request), True)
+        run = self.quarantine.tracker.begin(request, f"t{target}", named(request), True)
         if answered:
             run.answered_at = self.fleet.clock.now()
         run.on_stop = lambda: self.stopped.append(request)
@@ -43,7 +50,7 @@
     def finish(self, run: Run, end: RunEnd) -> None:
         port = int(run.start.target.removeprefix("t"))
         now = self.fleet.clock.now()
-        self.quarantine.watch.finish(run, end, f"http://10.0.0.1:{port}", now)
+        self.quarantine.tracker.finish(run, end, f"http://10.0.0.1:{port}", now)
 
     def refuses(self, request: str) -> bool:
         return self.quarantine.check(named(request), self.fleet.clock.now()) is not None
@@ -54,7 +61,7 @@
 
     def __init__(self, hosts: int) -> None:
         self.clock = VirtualClock()
-        self.network = ToldNetwork()
+        self.network = ScriptedNetwork()
         self.ports = range(1, 41)
         self.hosts = [Host(f"entry-{number}", self) for number in range(hosts)]
         self.tie()
@@ -62,7 +69,7 @@
 
     def tie(self) -> None:
         for host in self.hosts:
-            host.spread.join([other.spread for other in self.hosts])
+            host.gossip.join([other.gossip for other in self.hosts])
 
     def add(self) -> Host:
         """Start one more host, which learns what the others have."""
--- a/tests/quarantine/scene.py
+++ b/tests/quarantine/scene.py
@@ -4,13 +4,13 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from cranberrywall.quarantine import Run, RunEnd, RunWatch, fingerprint_of
+from cranberrywall.quarantine import Run, RunEnd, RunTracker, fingerprint_of
 from cranberrywall.quarantine._endings import Ending
 from cranberrywall.targets import Announcement, make_targets
 from tests.fakes.clock import VirtualClock, run_virtual
 
 
-class ToldNetwork:
+class ScriptedNetwork:
     """Take connections, refuse them or stay silent, by address."""
 
     def __init__(self) -> None:
@@ -45,12 +45,12 @@
 
     def __init__(self) -> None:
         self.clock = VirtualClock()
-        self.network = ToldNetwork()
+        self.network = ScriptedNetwork()
         self.targets = make_targets()
         network: Any = self.network  # of a network, only dialling is there
-        self.watch = RunWatch(self.targets, network, self.clock)
+        self.tracker = RunTracker(self.targets, network, self.clock)
         self.ended: list[tuple[Ending, list[str]]] = []
-        self.watch.on_ended = self._note
+        self.tracker.on_ended = self._note
 
     def _note(self, ending: Ending, runs: Any, now: float) -> None:
         self.ended.append((ending, sorted(run.request_id for run in runs)))
@@ -59,10 +59,10 @@
         self.targets.apply(announcement(target, port, incarnation, **fields), self.clock.now())
 
     def run(self, request_id: str, target: str, body: bytes = b"") -> Run:
-        return self.watch.begin(request_id, target, fingerprint_of("desk", "/x", body), True)
+        return self.tracker.begin(request_id, target, fingerprint_of("desk", "/x", body), True)
 
     def finish(self, run: Run, end: RunEnd, port: int) -> None:
-        self.watch.finish(run, end, f"http://10.0.0.1:{port}", self.clock.now())
+        self.tracker.finish(run, end, f"http://10.0.0.1:{port}", self.clock.now())
 
 
 def in_scene(story: Callable[[Scene], Awaitable[None]]) -> None:
@@ -70,6 +70,6 @@
         scene = Scene()
         scene.announce("a", 1)
         await story(scene)
-        scene.watch.close()
+        scene.tracker.close()
 
     run_virtual(main())
--- a/tests/quarantine/test_quarantine.py
+++ b/tests/quarantine/test_quarantine.py
@@ -170,11 +170,11 @@
 
     async def story(fleet: Fleet) -> None:
         first, _, cut_off = fleet.hosts
-        cut_off.spread.is_cut = True
+        cut_off.gossip.is_cut = True
         for _ in range(4):
             await fleet.end_under(first, "bad")
         assert not cut_off.refuses("bad")
-        cut_off.spread.mend()
+        cut_off.gossip.mend()
         assert cut_off.refuses("bad")
         assert fleet.add().refuses("bad")
 
@@ -186,12 +186,12 @@
 
     async def story(fleet: Fleet) -> None:
         first, _, cut_off = fleet.hosts
-        cut_off.spread.is_cut = True
+        cut_off.gossip.is_cut = True
         for _ in range(2):
             await fleet.end_under(first, "bad")
             await fleet.end_under(cut_off, "bad")
         assert not first.refuses("bad")
-        cut_off.spread.mend()
+        cut_off.gossip.mend()
         await fleet.clock.sleep(SOON_S)
         assert all(host.refuses("bad") for host in fleet.hosts)
 
@@ -255,7 +255,7 @@
             end = (RunEnd.WHOLE, RunEnd.BROKEN, RunEnd.GIVEN_UP)[number % 3]
             host.finish(host.send(f"r-{number}", 1 + number % 40), end)
         await fleet.clock.sleep(5.0)
-        assert host.spread.published == 0
+        assert host.gossip.published == 0
 
     in_fleet(story)
 
@@ -282,18 +282,18 @@
             start = announcement(f"u{number}", 100)
             first.targets.apply(start, fleet.clock.now())
             fleet.network.refuses.add("10.0.0.1:100")
-            watch = first.quarantine.watch
-            run = watch.begin(f"r-{number}", f"u{number}", named(f"r-{number}"), True)
-            watch.finish(run, RunEnd.BROKEN, start.url, fleet.clock.now())
+            tracker = first.quarantine.tracker
+            run = tracker.begin(f"r-{number}", f"u{number}", named(f"r-{number}"), True)
+            tracker.finish(run, RunEnd.BROKEN, start.url, fleet.clock.now())
             await fleet.clock.sleep(0.05)
         for host in fleet.hosts:
             assert host.quarantine.state()["endings"] == MOST_ENDINGS
-        assert len(second.spread.items("target-ended")) == MOST_ENDINGS
+        assert len(second.gossip.items("target-ended")) == MOST_ENDINGS
         await fleet.clock.sleep(KEPT_S + 1.0)
         for host in fleet.hosts:
             host.quarantine.expire(fleet.clock.now())
             assert host.quarantine.state()["endings"] == 0
-        assert second.spread.items("target-ended") == []
-        assert second.spread.published == 0
+        assert second.gossip.items("target-ended") == []
+        assert second.gossip.published == 0
 
     in_fleet(story)
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -125,11 +125,11 @@
     async def story(scene: Scene) -> None:
         for number in range(5000):
             scene.finish(scene.run(f"r-{number}", "a"), RunEnd.GIVEN_UP, 1)
-        assert len(scene.watch.runs._unanswered) == 4096
+        assert len(scene.tracker.runs._unanswered) == 4096
         await scene.clock.sleep(20.0)
         scene.finish(scene.run("r-last", "a"), RunEnd.WHOLE, 1)
-        assert len(scene.watch.runs._unanswered) == 0
-        assert not scene.watch.runs._by_start
+        assert len(scene.tracker.runs._unanswered) == 0
+        assert not scene.tracker.runs._by_incarnation
 
     in_scene(story)
 
--- a/tests/rates/test_coordinator.py
+++ b/tests/rates/test_coordinator.py
@@ -4,33 +4,33 @@
 import random
 
 from cranberrywall.hosts import HostState, HostView
-from cranberrywall.rates import AskedTarget, KnownRates, PermitReply, PermitRequest, Want
+from cranberrywall.rates import PermitDemand, PermitReply, PermitRequest, RateTable, RequestedTarget
 from cranberrywall.rates._coordinator import Coordinator
 from cranberrywall.rates._reach import LOST_S, Reach
-from cranberrywall.targets import TargetStart, make_targets
+from cranberrywall.targets import TargetIncarnation, make_targets
 from tests.fakes.clock import VirtualClock, run_virtual
 from tests.fakes.spread import MemorySpread
 
-START = TargetStart("t-1", 1)
+START = TargetIncarnation("t-1", 1)
 MOST_BEYOND = 3
 WINDOW_S = 4.0
 
 
 def make() -> Coordinator:
     clock = VirtualClock()
-    rates = KnownRates("entry-1", make_targets(), MemorySpread(), clock)
+    rates = RateTable("entry-1", make_targets(), MemorySpread(), clock)
     return Coordinator(rates, lambda now: 1.0, clock, random.Random(1))
 
 
 def request(
-    *wants: Want, wait_s: float = 0.0, per_s: float = 1.0, patience_s: float = 0.0
+    *wants: PermitDemand, wait_s: float = 0.0, per_s: float = 1.0, max_wait_s: float = 0.0
 ) -> PermitRequest:
-    asked = AskedTarget(START, 1, per_s)
-    return PermitRequest("service", "ledger", (asked,), wants, wait_s, patience_s)
+    asked = RequestedTarget(START, 1, per_s)
+    return PermitRequest("service", "ledger", (asked,), wants, wait_s, max_wait_s)
 
 
-def want(workspace: str = "desk", rank: int = 1, requests: int = 1) -> Want:
-    return Want(rank, workspace, requests)
+def want(workspace: str = "desk", rank: int = 1, requests: int = 1) -> PermitDemand:
+    return PermitDemand(rank, workspace, requests)
 
 
 async def take_all(
@@ -124,7 +124,7 @@
         coordinator = make()
         replies: list[PermitReply] = []
         for _ in range(20):
-            asked = request(want(), patience_s=4.0)
+            asked = request(want(), max_wait_s=4.0)
             replies.append(await coordinator.answer("entry-1", asked))
         waits = [reply.waits_s[0] for reply in replies]
         assert sum(wait <= 4.0 for wait in waits) in (2, 3, 4)
--- a/tests/rates/test_known.py
+++ b/tests/rates/test_known.py
@@ -1,12 +1,12 @@
 """Hear what targets name on several hosts, in any order, and hold the same on all."""
 
-from cranberrywall.rates import NO_RATE, KnownRates, RateNotice
+from cranberrywall.rates import NO_RATE, RateNotice, RateTable
 from cranberrywall.rates._known import SETTLE_S
-from cranberrywall.targets import Announcement, Targets, TargetStart, make_targets
+from cranberrywall.targets import Announcement, TargetIncarnation, Targets, make_targets
 from tests.fakes.clock import ManualClock
 from tests.fakes.spread import MemorySpread
 
-START = TargetStart("engine-1", 7)
+START = TargetIncarnation("engine-1", 7)
 
 
 def announcement(incarnation: int = 7, counter: int = 1) -> Announcement:
@@ -20,26 +20,26 @@
         self.clock = clock
         self.targets: Targets = make_targets()
         self.targets.apply(announcement(), clock.now())
-        self.spread = MemorySpread()
-        self.rates = KnownRates(name, self.targets, self.spread, clock)
+        self.gossip = MemorySpread()
+        self.rates = RateTable(name, self.targets, self.gossip, clock)
 
     def sends(self) -> int:
         """Return what a request that is sent now notes."""
         return self.rates.known(START).number
 
     def hears(self, notice: RateNotice, sent: int, is_served: bool = True) -> None:
-        self.rates.heard(START, notice, sent, is_served, "id", self.clock.now())
+        self.rates.record_response(START, notice, sent, is_served, "id", self.clock.now())
 
     @property
     def rate(self) -> float | None:
-        return self.rates.rate_by_start.get(START)
+        return self.rates.rate_by_incarnation.get(START)
 
 
 def fleet(size: int = 3) -> tuple[ManualClock, list[Host]]:
     clock = ManualClock()
     hosts = [Host(f"entry-{number}", clock) for number in range(size)]
     for host in hosts:
-        host.spread.join([other.spread for other in hosts])
+        host.gossip.join([other.gossip for other in hosts])
     return clock, hosts
 
 
@@ -83,12 +83,12 @@
 def test_of_two_changes_at_the_same_time_the_stricter_one_holds():
     _, hosts = fleet()
     for host in hosts:
-        host.spread.is_cut = True
+        host.gossip.is_cut = True
     hosts[0].hears(RateNotice(8.0), 0)
     hosts[1].hears(RateNotice(3.0), 0)
     hosts[2].hears(RateNotice(5.0), 0)
     for host in hosts:
-        host.spread.mend()
+        host.gossip.mend()
     assert [host.rate for host in hosts] == [3.0, 3.0, 3.0]
 
 
@@ -118,12 +118,12 @@
         host.hears(RateNotice(100.0 + 10.0 * (number % 7)), host.sends())
         clock.step(0.005)
     # At most one raise, and one fall behind it, in each span in which a rate settles.
-    assert host.spread.published <= 2 * 2.0 / SETTLE_S
-    before = host.spread.published
+    assert host.gossip.published <= 2 * 2.0 / SETTLE_S
+    before = host.gossip.published
     for number in range(400):
         host.hears(RateNotice(50.0 + 0.1 * (number % 7)), host.sends())
         clock.step(0.005)
-    assert host.spread.published == before + 1
+    assert host.gossip.published == before + 1
 
 
 def test_a_new_start_takes_no_rate_over_and_the_old_one_is_forgotten():
@@ -132,14 +132,14 @@
     for host in hosts:
         host.targets.apply(announcement(8), clock.now())
         host.rates.expire(clock.now())
-    assert [host.rates.rate_by_start for host in hosts] == [{}, {}, {}]
+    assert [host.rates.rate_by_incarnation for host in hosts] == [{}, {}, {}]
 
 
 def test_a_target_that_is_silent_for_a_while_keeps_its_rate():
     """An engine is out of sight for half a minute, and is still in need as it comes back."""
     clock, (host, *_) = fleet(1)
     host.hears(RateNotice(1.0), host.sends())
-    host.targets.forget("engine-1", clock.now())
+    host.targets.discard("engine-1", clock.now())
     for _ in range(30):
         clock.step(1.0)
         host.rates.expire(clock.now())
@@ -153,7 +153,7 @@
     clock, hosts = fleet()
     hosts[0].hears(RateNotice(1.0), hosts[0].sends())
     for host in hosts:
-        host.targets.forget("engine-1", clock.now())
+        host.targets.discard("engine-1", clock.now())
         host.rates.expire(clock.now())
     clock.step(61.0)
     for host in hosts:
@@ -167,5 +167,5 @@
     clock, hosts = fleet()
     hosts[0].hears(RateNotice(1.0), hosts[0].sends())
     late = Host("entry-9", clock)
-    late.spread.join([hosts[1].spread, hosts[2].spread])
+    late.gossip.join([hosts[1].gossip, hosts[2].gossip])
     assert late.rate == 1.0
--- a/tests/replication/fleet.py
+++ b/tests/replication/fleet.py
@@ -11,11 +11,11 @@
 from cranberrywall.errors import Refusal
 from cranberrywall.links import LinkCaller, LinkServer, Peer, make_caller, make_link_server
 from cranberrywall.replication import (
-    Founders,
     GroupSettings,
+    InitialMembers,
     Replica,
     StateMachine,
-    founders_of,
+    initial_members_of,
     make_group,
 )
 from cranberrywall.runtime import Runtime
@@ -88,7 +88,7 @@
         self._server: LinkServer
 
     async def start(
-        self, addresses: dict[str, str] | None = None, founders: Founders | None = None
+        self, addresses: dict[str, str] | None = None, founders: InitialMembers | None = None
     ) -> Result[None, Refusal]:
         fleet = self._fleet
         network = fleet.fabric.network(self.ip)
@@ -99,7 +99,7 @@
         self.machine = fleet.make_machine()
         self.group = make_group(
             "ledger-0",
-            founders or founders_of(addresses or fleet.addresses, self.name),
+            founders or initial_members_of(addresses or fleet.addresses, self.name),
             self.name,
             self.machine,
             runtime,
--- a/tests/replication/test_enlisting.py
+++ b/tests/replication/test_enlisting.py
@@ -2,7 +2,7 @@
 
 from result import Ok
 
-from cranberrywall.replication import Founders
+from cranberrywall.replication import InitialMembers
 from tests.replication.fleet import SMALL, Fleet, FleetHost, run_fleet
 from tests.replication.test_members import voters
 
@@ -21,7 +21,7 @@
             await host.kill()
         for host in fleet.by_name.values():
             host.storage = type(host.storage)(fleet.random)
-            founders = Founders(tuple(fleet.addresses.values()), host.address, may_form=False)
+            founders = InitialMembers(tuple(fleet.addresses.values()), host.address, may_form=False)
             assert isinstance(await host.start(founders=founders), Ok)
         await fleet.clock.sleep(30.0)
         assert fleet.leaders() == []
@@ -34,7 +34,7 @@
         await fleet.write("one", "two")
         leader = await fleet.leader()
         added = fleet.add_host("d")
-        founders = Founders(tuple(fleet.addresses.values()), added.address, may_form=False)
+        founders = InitialMembers(tuple(fleet.addresses.values()), added.address, may_form=False)
         assert isinstance(await added.start(founders=founders), Ok)
         for _ in range(3):
             assert isinstance(await leader.group.enlist("d", added.address, 5.0), Ok)
@@ -79,10 +79,10 @@
         await fleet.until(lambda: lost.name not in voters(fleet))
         fleet.mend()
         await fleet.clock.sleep(5.0)
-        assert not lost.group.hears_leader
+        assert not lost.group.has_leader_contact
         leader = await fleet.leader()
         assert isinstance(await leader.group.enlist(lost.name, lost.address, 5.0), Ok)
-        await fleet.until(lambda: lost.name in voters(fleet) and lost.group.hears_leader)
+        await fleet.until(lambda: lost.name in voters(fleet) and lost.group.has_leader_contact)
 
     run_fleet(test, settings=GIVES_UP)
 
--- a/tests/requests/fleet.py
+++ b/tests/requests/fleet.py
@@ -11,8 +11,8 @@
 from cranberrywall.configuration import make_fixed_configuration
 from cranberrywall.entry import CallerStack, StackLinks, make_caller_stack
 from cranberrywall.errors import ErrorKind, Refusal
-from cranberrywall.quarantine import Quarantine, RunWatch
-from cranberrywall.rates import KnownRates, Permits, TargetRates
+from cranberrywall.quarantine import Quarantine, RunTracker
+from cranberrywall.rates import Permits, RateTable, TargetRates
 from cranberrywall.requests import EngineLimits
 from cranberrywall.routing import make_router
 from cranberrywall.runtime import make_clock, make_network
@@ -30,7 +30,7 @@
 OTHER_KEY = "other-key"
 MODEL = "drafting-llm"
 SERVICE = "ledger-api"
-FAST = EngineLimits(connect_s=1.0, first_chunk_s=2.0, between_chunks_s=1.0, elsewhere_s=0.1)
+FAST = EngineLimits(connect_timeout_s=1.0, first_chunk_s=2.0, between_chunks_s=1.0, elsewhere_s=0.1)
 
 
 def document() -> Any:
@@ -187,7 +187,7 @@
     ) -> TargetRates:
         spread = MemorySpread()
         self.rate_spreads.append(spread)
-        known = KnownRates(host, targets, spread, self.clock)
+        known = RateTable(host, targets, spread, self.clock)
         for one in self.rate_spreads:
             one.join(self.rate_spreads)
         permits = Permits(host, known, self.membership, links.caller, self.clock, random_numbers)
@@ -197,7 +197,7 @@
     def _make_quarantine(self, host: str, targets: Any) -> Quarantine:
         spread = MemorySpread()
         self.spreads.append(spread)
-        made = Quarantine(host, RunWatch(targets, make_network(), self.clock), spread, self.clock)
+        made = Quarantine(host, RunTracker(targets, make_network(), self.clock), spread, self.clock)
         for one in self.spreads:
             one.join(self.spreads)
         return made
--- a/tests/routing/test_backoffs.py
+++ b/tests/routing/test_backoffs.py
@@ -24,7 +24,7 @@
 
 
 def turn_away(slot: Slot, now: float, field: DecimalField = BACKOFF) -> None:
-    slot.backoff_asked(field, "id", now)
+    slot.record_backoff(field, "id", now)
     slot.finish(FAILED, now)
 
 
@@ -114,7 +114,7 @@
     for slot in slots:
         slot.finish(FAILED, 0.0)
     clock.time = 10.0
-    assert "a" not in {one.target for one in router.doubtful(clock.time)}
+    assert "a" not in {one.target for one in router.targets_to_probe(clock.time)}
     assert await targets_of(router, clock.time) == {"b", "c"}
 
 
@@ -138,7 +138,7 @@
     """A target that is forgotten and announces itself again gets requests in its backoff."""
     router, targets, clock = make(announce("a", capacity=9))
     await turn_away_at(router, "a", 0.0)
-    targets.forget("a", 0.1)
+    targets.discard("a", 0.1)
     targets.apply(announce("a", counter=2, capacity=9), 0.2)
     answer = await asyncio.wait_for(router.acquire(demand(deadline=1.0), 0.2), 0.05)
     assert answer.is_err()
@@ -151,7 +151,7 @@
     router, _, clock = make(*(announce(name, capacity=9) for name in "abc"))
     for _ in range(5):
         await turn_away_at(router, "a", clock.time)
-        assert router.doubtful(clock.time) == []
+        assert router.targets_to_probe(clock.time) == []
         clock.time += LATEST_RETURN_S
     assert "a" in await targets_of(router, clock.time)
 
--- a/tests/routing/test_failures.py
+++ b/tests/routing/test_failures.py
@@ -7,7 +7,7 @@
 
 from cranberrywall.errors import ErrorKind
 from cranberrywall.routing import Demand, Outcome, OutcomeKind, Slot, TargetRouter
-from cranberrywall.targets import KEPT_S, CacheEvent, Group, Load, PrefixIndex
+from cranberrywall.targets import TARGET_RETENTION_S, CacheEvent, Group, Load, PrefixIndex
 from tests.routing.clocks import ManualClock
 from tests.routing.demands import demand
 from tests.routing.routers import ANSWERED, FAILED, make, settle
@@ -25,7 +25,7 @@
         slot.finish(FAILED, clock.time)
         return slot.target_id
     clock.time += seconds
-    slot.first_token(clock.time)
+    slot.record_first_token(clock.time)
     slot.finish(Outcome(OutcomeKind.ANSWERED, seconds, 10), clock.time)
     return slot.target_id
 
@@ -43,7 +43,7 @@
 
 async def fail_until_ejected(router: TargetRouter, clock: ManualClock) -> None:
     for _ in range(1000):
-        if [found.target for found in router.doubtful(clock.time)] == ["a"]:
+        if [found.target for found in router.targets_to_probe(clock.time)] == ["a"]:
             return
         await use(router, clock, failing="a")
     raise AssertionError("the failing target was not ejected")
@@ -64,9 +64,9 @@
     router, _, clock = make(announce("a", capacity=4), announce("b", capacity=4))
     await fail_until_ejected(router, clock)
     assert {await use(router, clock) for _ in range(20)} == {"b"}
-    router.probed(announce("a"), False, clock.time)
+    router.record_probe(announce("a"), False, clock.time)
     assert {await use(router, clock) for _ in range(20)} == {"b"}
-    router.probed(announce("a"), True, clock.time)
+    router.record_probe(announce("a"), True, clock.time)
     slots = await grant_now(router, 5, demand(), clock.time)
     assert Counter(slot.target_id for slot in slots) == {"a": 1, "b": 4}
     for slot in slots:
@@ -95,10 +95,10 @@
         if slot.target_id == "a":
             stuck.append(clock.time)
             continue
-        slot.first_token(clock.time + 0.05)
+        slot.record_first_token(clock.time + 0.05)
         slot.finish(Outcome(OutcomeKind.ANSWERED, 0.05, 10), clock.time + 0.05)
     assert stuck and stuck[-1] - stuck[0] < 6.0
-    assert [found.target for found in router.doubtful(clock.time)] == ["a"]
+    assert [found.target for found in router.targets_to_probe(clock.time)] == ["a"]
 
 
 async def test_a_target_that_lies_about_its_load_is_found_slow():
@@ -117,7 +117,7 @@
         used[slot.target_id] += 1
         seconds = 2.0 if slot.target_id == "a" else 0.4
         clock.time += 0.1
-        slot.first_token(clock.time)
+        slot.record_first_token(clock.time)
         slot.finish(Outcome(OutcomeKind.ANSWERED, seconds, 10), clock.time)
     assert used["a"] < min(used["b"], used["c"]) / 2
 
@@ -193,7 +193,7 @@
         clock.time += 2.0
         targets.apply(announce("near", place="kranj", counter=counter), clock.time)
         targets.expire(clock.time)
-    clock.time = KEPT_S + 1.0
+    clock.time = TARGET_RETENTION_S + 1.0
     targets.expire(clock.time)
     assert {await use(router, clock) for _ in range(20)} == {"near"}
     targets.apply(announce("far", place="domzale", counter=40), clock.time)
@@ -209,7 +209,7 @@
     router, targets, clock = make(announce("a", counter=90), announce("b", counter=90))
     await fail_until_ejected(router, clock)
     targets.apply(announce("a", incarnation=2, counter=1), clock.time)
-    assert not router.doubtful(clock.time)
+    assert not router.targets_to_probe(clock.time)
     assert "a" in {await use(router, clock) for _ in range(20)}
 
 
--- a/tests/routing/test_homes.py
+++ b/tests/routing/test_homes.py
@@ -29,7 +29,7 @@
 
 
 def shared_prompt(exclude: frozenset[str] = frozenset()) -> Demand:
-    return demand(prefix_hashes=BLOCKS, home=LEASE_CLAUSES, exclude=exclude)
+    return demand(prefix_hashes=BLOCKS, affinity_hash=LEASE_CLAUSES, exclude=exclude)
 
 
 async def test_hosts_that_never_met_send_a_shared_prompt_to_one_target():
@@ -79,6 +79,6 @@
     for _ in range(2):
         slot = (await router.acquire(demand(), 0.0)).unwrap()
         by_target[slot.target_id] = slot
-    by_target["a"].loaded(running=4, waiting=9, now=0.1)
+    by_target["a"].record_load(running=4, waiting=9, now=0.1)
     chosen = [(await router.acquire(demand(), 0.2)).unwrap().target_id for _ in range(3)]
     assert chosen == ["b"] * 3
--- a/tests/routing/test_rated.py
+++ b/tests/routing/test_rated.py
@@ -6,7 +6,7 @@
 
 from result import Err, Ok
 
-from cranberrywall.rates import NO_RATE, RateNotice, make_lone_rates
+from cranberrywall.rates import NO_RATE, RateNotice, make_standalone_rates
 from cranberrywall.routing import Outcome, OutcomeKind, Slot, TargetRouter, make_router
 from cranberrywall.targets import Announcement, DecimalField, make_targets
 from tests.fakes.clock import VirtualClock, run_virtual
@@ -23,7 +23,7 @@
         self.clock = VirtualClock()
         self.targets = make_targets()
         numbers = random.Random(1)
-        self.rates = make_lone_rates(self.targets, self.clock, numbers)
+        self.rates = make_standalone_rates(self.targets, self.clock, numbers)
         self.router: TargetRouter = make_router(
             self.targets,
             FixedConfiguration(concurrent),
@@ -47,7 +47,7 @@
     async def answer(self, notice: RateNotice, **fields: Any) -> str:
         """Serve one request, whose answer names a rate; return its target."""
         slot = (await self.acquire(**fields)).unwrap()
-        slot.rate_named(notice, True, "id", self.clock.now())
+        slot.record_rate(notice, True, "id", self.clock.now())
         slot.finish(ANSWERED, self.clock.now())
         return slot.target_id
 
@@ -83,14 +83,16 @@
         for _ in range(20):
             slot = (await world.acquire(workspace="")).unwrap()
             in_need = slot.target_id == "vratar-0"
-            slot.rate_named(RateNotice(0.05) if in_need else NO_RATE, True, "id", 0.0)
+            slot.record_rate(RateNotice(0.05) if in_need else NO_RATE, True, "id", 0.0)
             slot.finish(ANSWERED, world.clock.now())
         for _ in range(40):
             await _target(world)
-        start = next(iter(world.rates.known.rate_by_start))
+        start = next(iter(world.rates.known.rate_by_incarnation))
         number = world.rates.known.known(start).number
         await asyncio.sleep(1.0)
-        world.rates.known.heard(start, RateNotice(50.0), number, True, "id", world.clock.now())
+        world.rates.known.record_response(
+            start, RateNotice(50.0), number, True, "id", world.clock.now()
+        )
         await asyncio.sleep(1.0)
         chosen = [await _target(world) for _ in range(40)]
         assert chosen.count(start.target) >= 8
@@ -135,7 +137,7 @@
         served = [one for one in waiting if one.done()]
         assert len(served) == 1
         slot = served[0].result().unwrap()
-        slot.rate_named(NO_RATE, True, "id", world.clock.now())
+        slot.record_rate(NO_RATE, True, "id", world.clock.now())
         await asyncio.sleep(0.1)
         assert all(one.done() for one in waiting)
 
@@ -150,7 +152,7 @@
 
     async def story() -> None:
         world = World(4)
-        while len(world.rates.known.rate_by_start) < 4:
+        while len(world.rates.known.rate_by_incarnation) < 4:
             await world.answer(RateNotice(50.0), workspace="")
             await asyncio.sleep(0.05)
         chosen = [await _target(world) for _ in range(100)]
@@ -164,11 +166,11 @@
 
     async def story() -> None:
         world = World(2)
-        while len(world.rates.known.rate_by_start) < 2:
+        while len(world.rates.known.rate_by_incarnation) < 2:
             await world.answer(RateNotice(200.0), workspace="")
             await asyncio.sleep(0.05)
         slot = (await world.acquire(workspace="")).unwrap()
-        slot.backoff_asked(DecimalField(3.0), "id", world.clock.now())
+        slot.record_backoff(DecimalField(3.0), "id", world.clock.now())
         slot.finish(Outcome(OutcomeKind.FAILED_AFTER), world.clock.now())
         chosen = {await _target(world) for _ in range(100)}
         assert len(chosen) == 1
--- a/tests/routing/test_retry_parts.py
+++ b/tests/routing/test_retry_parts.py
@@ -4,7 +4,7 @@
 from cranberrywall.routing._retries import RetryBudget
 
 SLACK = 156.0
-LIMITS = RetryLimits(share=0.2, saved=SLACK, every_s=float("inf"), sharers=10)
+LIMITS = RetryLimits(share=0.2, max_saved=SLACK, interval_s=float("inf"), min_hosts=10)
 
 
 def spend_all(budgets: list[RetryBudget], now: float) -> int:
--- a/tests/settings/test_load.py
+++ b/tests/settings/test_load.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 from result import Err, Ok
 
-from cranberrywall.hosts import Pace, pace_of
+from cranberrywall.hosts import MembershipTimings, membership_timings
 from cranberrywall.links import Limits, limits_of
 from cranberrywall.settings import (
     Settings,
@@ -72,7 +72,7 @@
 def test_the_defaults_are_those_of_the_parts_that_take_them():
     settings = with_defaults({})
     assert limits_of(settings) == Limits()
-    assert pace_of(settings) == Pace()
+    assert membership_timings(settings) == MembershipTimings()
 
 
 def _set(*path: str | int, to: Any) -> Change:
--- a/tests/targets/test_relay.py
+++ b/tests/targets/test_relay.py
@@ -4,10 +4,10 @@
 
 from result import Err, Ok, Result
 
-from cranberrywall.control import Tellers
+from cranberrywall.control import NotifierAssignment
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.links import Peer
-from cranberrywall.targets import HostRun, TargetRelay
+from cranberrywall.targets import HostIncarnation, TargetRelay
 from tests.fakes.clock import VirtualClock, run_virtual
 from tests.targets.announcements import announce
 
@@ -28,8 +28,8 @@
         return Ok(None)
 
 
-def runs_at(*addresses: str) -> list[HostRun]:
-    return [HostRun(address, 1) for address in addresses]
+def runs_at(*addresses: str) -> list[HostIncarnation]:
+    return [HostIncarnation(address, 1) for address in addresses]
 
 
 def make_relay(entries: Entries) -> TargetRelay:
@@ -199,13 +199,17 @@
         self.relay_by_address: dict[str, TargetRelay] = {}
         names = [f"control-{number}" for number in range(controls)]
         for name in names:
-            others = [HostRun(other, 1, is_control=True) for other in names if other != name]
+            others = [
+                HostIncarnation(other, 1, is_control=True) for other in names if other != name
+            ]
             self.relay_by_address[name] = TargetRelay(
                 lambda: runs_at(*self.addresses),
                 self,
                 clock,
                 others=lambda others=others: others,  # type: ignore[misc] # bound for each
-                tells=Tellers(name, lambda: names).tells if shares else lambda links: True,
+                tells=(
+                    NotifierAssignment(name, lambda: names).tells if shares else lambda links: True
+                ),
             )
 
     async def call(
--- a/tests/targets/test_targets.py
+++ b/tests/targets/test_targets.py
@@ -1,6 +1,6 @@
 """Check which announcement counts when several arrive out of order."""
 
-from cranberrywall.targets import KEPT_S, Change, Group, make_targets
+from cranberrywall.targets import TARGET_RETENTION_S, Change, Group, make_targets
 from tests.targets.announcements import announce
 
 
@@ -47,8 +47,8 @@
     targets.subscribe(lambda announcement, change, now: heard.append(change))
     targets.apply(announce(counter=1), 0.0)
     targets.apply(announce(counter=2), 2.0)
-    assert targets.expire(KEPT_S + 1.0) == []
-    assert targets.expire(KEPT_S + 2.0) == ["engine-1"]
+    assert targets.expire(TARGET_RETENTION_S + 1.0) == []
+    assert targets.expire(TARGET_RETENTION_S + 2.0) == ["engine-1"]
     assert targets.apply(announce(counter=3), 60.0) is Change.JOINED
     assert heard == [Change.JOINED, Change.RENEWED, Change.LEFT, Change.JOINED]
     assert set(targets.by_group) == {Group("engine", "asistent")}
@@ -58,8 +58,8 @@
     targets = make_targets()
     targets.apply(announce(counter=1, leaving=True), 0.0)
     targets.apply(announce(incarnation=2, counter=1), 5.0)
-    targets.expire(KEPT_S)
-    assert targets.expire(5.0 + KEPT_S) == ["engine-1"]
+    targets.expire(TARGET_RETENTION_S)
+    assert targets.expire(5.0 + TARGET_RETENTION_S) == ["engine-1"]
 
 
 def test_a_target_that_changes_its_model_moves_to_the_other_group():
@@ -102,8 +102,8 @@
     seen = []
     targets.subscribe(lambda announcement, change, now: seen.append(change))
     targets.apply(announce("engine-1", counter=1), 0.0)
-    targets.forget("engine-1", 1.0)
-    targets.forget("engine-1", 1.0)
+    targets.discard("engine-1", 1.0)
+    targets.discard("engine-1", 1.0)
     assert not targets.by_id
     targets.apply(announce("engine-1", counter=1), 1.5)
     assert not targets.by_id
