--- a/cranberrywall/quarantine/__init__.py
+++ b/cranberrywall/quarantine/__init__.py
@@ -1,7 +1,7 @@
-"""Find the requests that end the targets which begin them, and refuse those."""
+"""Quarantine: detect requests that end the targets that start to run them, and refuse these."""
 
 from cranberrywall.quarantine._fingerprint import Fingerprint, fingerprint_of
-from cranberrywall.quarantine._orders import (
+from cranberrywall.quarantine._operator_calls import (
     QUARANTINE,
     QuarantineReply,
     QuarantineRequest,
@@ -9,8 +9,8 @@
 )
 from cranberrywall.quarantine._quarantine import Quarantine
 from cranberrywall.quarantine._runs import Run, RunEnd
-from cranberrywall.quarantine._stopping import stoppable
-from cranberrywall.quarantine._watch import RunTracker
+from cranberrywall.quarantine._stoppable import stoppable
+from cranberrywall.quarantine._tracker import RunTracker
 
 __all__ = [
     "QUARANTINE",
--- a/cranberrywall/quarantine/_decisions.py
+++ b/cranberrywall/quarantine/_decisions.py
@@ -1,4 +1,4 @@
-"""Keep what the hosts decided about requests: which are held back, and for how long.
+"""Decisions of all hosts about requests: which requests are held (refused), and for how long.
 
 Times are monotonic seconds of this host.
 """
@@ -15,36 +15,37 @@
 
 DECISIONS_TOPIC = "request-held"
 
-HELD_S = 600.0
-"""A request is held back so long, in seconds. It is long beside the time in which callers repeat a
-request, and short beside a working day: if the verdict is wrong, or targets were mended meanwhile,
-nobody need lift it. If it was right, four targets more are lost."""
+HOLD_DURATION_S = 600.0
+"""Time for which a request is held, in seconds. It is long compared to the time in which callers
+repeat a request, and short compared to a working day. If the decision is wrong, or the targets were
+fixed meanwhile, no operator needs to lift it. If the decision is right, four more targets are
+lost."""
 
-MOST_HELD = 1000
-"""Requests held back at most; the oldest go first."""
+MAX_HELD = 1000
+"""Maximum number of held requests; the oldest are released first."""
 
-MOST_NUMBERS = 4 * MOST_HELD
-"""Requests at most whose last decision's number is remembered, also once they are free again."""
+MAX_NUMBERS = 4 * MAX_HELD
+"""Maximum number of requests whose last decision number is kept, including released requests."""
 
 _RANKS = {DecisionState.HELD: 1, DecisionState.LIFTED: 2, DecisionState.CLEARED: 3}
-"""Of two decisions made at the same time, the higher one holds on all hosts. That a target answered
-a request whole is a fact, where holding it back is a guess."""
+"""Of two decisions made at the same time, the one with the higher rank applies on all hosts. A
+complete answer from a target is a fact, but holding a request is a guess."""
 
-_GONE_RANK = 0
+_REMOVED_RANK = 0
 
 
 class Held(NamedTuple):
-    """Hold back a request until a time."""
+    """Decision that holds a request until a time."""
 
     decision: Decision
     until: float
 
 
 class Decisions:
-    """Make decisions known to all hosts, and follow theirs.
+    """Publish decisions to all hosts, and apply those of other hosts.
 
-    ``on_held`` is called for each request that is held from now on, ``on_free`` for each that is
-    held no more, or was cleared: what spoke against it is to be forgotten.
+    ``on_held`` is called for each request that is held from now on. ``on_release`` is called for
+    each request that is released or cleared: the evidence against it must be discarded.
     """
 
     def __init__(
@@ -52,79 +53,79 @@
         gossip: Gossip,
         clock: Clock,
         on_held: Callable[[Fingerprint], None],
-        on_free: Callable[[Fingerprint], None],
+        on_release: Callable[[Fingerprint], None],
     ) -> None:
         self.held_by_fingerprint: dict[Fingerprint, Held] = {}
-        self._spread = gossip
+        self._gossip = gossip
         self._clock = clock
         self._on_held = on_held
-        self._on_free = on_free
+        self._on_release = on_release
         self._number_by_fingerprint: dict[Fingerprint, int] = {}
-        gossip.subscribe(DECISIONS_TOPIC, self._take)
+        gossip.subscribe(DECISIONS_TOPIC, self._apply)
 
     def held(self, fingerprint: Fingerprint, now: float) -> Held | None:
-        """Return what holds a request back now."""
+        """Return the active decision that holds a request; ``None`` if it is not held now."""
         held = self.held_by_fingerprint.get(fingerprint)
         return held if held is not None and now < held.until else None
 
     def decide(self, decision: Decision) -> None:
-        """Tell all hosts, this one included, what holds for a request from now on."""
+        """Publish the decision about a request to all hosts, including this one."""
         payload = QUARANTINE_CODEC.encode(decision)
         self._publish(decision.fingerprint, _RANKS[decision.state], payload)
 
     def expire(self, now: float) -> None:
-        """Let requests go whose time is over."""
+        """Release the requests whose time is over."""
         for fingerprint, held in list(self.held_by_fingerprint.items()):
             if now >= held.until:
-                self._let_go(fingerprint, "expired")
+                self._withdraw(fingerprint, "expired")
 
     def all_held(self) -> Sequence[Held]:
-        """Return all that is held back, oldest first."""
+        """Return all held requests, oldest first."""
         return list(self.held_by_fingerprint.values())
 
     def _publish(self, fingerprint: Fingerprint, rank: int, payload: bytes) -> None:
-        # Numbers and not times: hosts' clocks differ, and may jump.
+        # Versions are numbers and not times, because hosts' clocks differ and may jump.
         version = (self._number_by_fingerprint.get(fingerprint, 0) + 1, rank)
         key = fingerprint.hex()
-        self._spread.publish(Item(DECISIONS_TOPIC, key, version, payload, urgency=Urgency.URGENT))
+        self._gossip.publish(Item(DECISIONS_TOPIC, key, version, payload, urgency=Urgency.URGENT))
 
-    def _take(self, item: Item) -> None:
+    def _apply(self, item: Item) -> None:
         try:
             fingerprint = bytes.fromhex(item.key)
         except ValueError as error:
             log_event("WARNING", "quarantine_item_malformed", topic=item.topic, reason=str(error))
             return
-        self._remember_number(fingerprint, item.version[0])
+        self._record_number(fingerprint, item.version[0])
         decision = decode_item(item, Decision)
         if decision is None:
-            self._free(fingerprint)
+            self._release(fingerprint)
             return
         _log(decision)
         if decision.state is DecisionState.HELD:
             self._hold(fingerprint, decision)
         else:
-            self._free(fingerprint)
+            self._release(fingerprint)
 
-    def _remember_number(self, fingerprint: Fingerprint, number: int) -> None:
+    def _record_number(self, fingerprint: Fingerprint, number: int) -> None:
         self._number_by_fingerprint.pop(fingerprint, None)
         self._number_by_fingerprint[fingerprint] = number
-        if len(self._number_by_fingerprint) > MOST_NUMBERS:
+        if len(self._number_by_fingerprint) > MAX_NUMBERS:
             del self._number_by_fingerprint[next(iter(self._number_by_fingerprint))]
 
     def _hold(self, fingerprint: Fingerprint, decision: Decision) -> None:
         self.held_by_fingerprint.pop(fingerprint, None)
-        self.held_by_fingerprint[fingerprint] = Held(decision, self._clock.now() + HELD_S)
-        if len(self.held_by_fingerprint) > MOST_HELD:
-            self._let_go(next(iter(self.held_by_fingerprint)), "too_many")
+        self.held_by_fingerprint[fingerprint] = Held(decision, self._clock.now() + HOLD_DURATION_S)
+        if len(self.held_by_fingerprint) > MAX_HELD:
+            self._withdraw(next(iter(self.held_by_fingerprint)), "too_many")
         self._on_held(fingerprint)
 
-    def _free(self, fingerprint: Fingerprint) -> None:
+    def _release(self, fingerprint: Fingerprint) -> None:
         self.held_by_fingerprint.pop(fingerprint, None)
-        self._on_free(fingerprint)
+        self._on_release(fingerprint)
 
-    def _let_go(self, fingerprint: Fingerprint, reason: str) -> None:
+    def _withdraw(self, fingerprint: Fingerprint, reason: str) -> None:
         log_event("INFO", "request_let_go", fingerprint=fingerprint.hex(), reason=reason)
-        self._publish(fingerprint, _GONE_RANK, b"")
+        self._publish(fingerprint, _REMOVED_RANK, b"")
 
 
 def _log(decision: Decision) -> None:
--- a/cranberrywall/quarantine/_endings.py
+++ b/cranberrywall/quarantine/_endings.py
@@ -1,8 +1,9 @@
-"""Tell a target that ended from one whose connections broke.
+"""Distinguish a target that ended from a target whose connections broke.
 
-A lost connection says little: it may have been reset, an answer may have been broken off by a
-target that lives on, or the target may have left in good order. A target has ended where nobody
-takes connections at its address any more, or where a later start announced itself there.
+A lost connection is no proof that the target ended: it may have been reset, the target may have
+truncated an answer and continued, or the target may have left after it announced so. A target has
+ended if its address refuses connections, or if a later incarnation or another target announced
+itself at the address.
 """
 
 import asyncio
@@ -12,34 +13,39 @@
 from urllib.parse import urlsplit
 
 from cranberrywall.observability import log_event
-from cranberrywall.quarantine._runs import REMEMBERED_S
+from cranberrywall.quarantine._runs import UNANSWERED_RETENTION_S
 from cranberrywall.runtime import Clock, Network
 from cranberrywall.targets import Announcement, Change, TargetIncarnation, Targets
 
-LOOK_AFTER_S = (0.0, 0.03, 0.2, 1.0)
-"""When the address of a target that lost connections is tried, in seconds after the one before.
+CHECK_DELAYS_S = (0.0, 0.03, 0.2, 1.0)
+"""Delays before the connection attempts to a target that lost connections, in seconds.
 
-A process that ends closes its connections and its listener within milliseconds, in any order; the
-later looks are for one that takes longer. Platforms bring a target back in seconds, and then its
-next announcement tells."""
+Each delay starts after the attempt before. A process that ends closes its connections and its
+listener within milliseconds, in any order; the later attempts are for a process that takes longer.
+Platforms restart a target within seconds, and then its next announcement shows that it ended.
+"""
+
+CONNECT_TIMEOUT_S = 0.6
+"""Timeout of a connection attempt, in seconds: an unresponsive address proves nothing."""
 
-CONNECT_S = 0.6
-"""A look gives up after so long, in seconds: a silent address proves nothing."""
 
+class EndingSignal(StrEnum):
+    """How the end of a target was detected.
 
-class Word(StrEnum):
-    """Say by what a target's end is known."""
+    ``REFUSED``: its address refuses connections. ``RESTARTED``: a later incarnation, or another
+    target at the same address, announced itself.
+    """
 
     REFUSED = "refused"
     RESTARTED = "restarted"
 
 
 class Ending(NamedTuple):
-    """Report that a target ended; ``at`` is when its last connection here was lost."""
+    """End of a target's incarnation; ``at`` is when this host lost its last connection to it."""
 
-    start: TargetIncarnation
+    target_incarnation: TargetIncarnation
     at: float
-    word: Word
+    signal: EndingSignal
 
 
 class _Lost(NamedTuple):
@@ -50,61 +56,62 @@
 OnEnding = Callable[[Ending, float], None]
 
 
-class TargetEndings:
-    """Look into the targets that lost connections, and report those that ended."""
+class EndingDetector:
+    """Check the targets that lost connections, and report those that ended."""
 
     def __init__(
         self,
         targets: Targets,
         network: Network,
         clock: Clock,
-        is_at_work: Callable[[TargetIncarnation], bool],
+        has_open_runs: Callable[[TargetIncarnation], bool],
         on_ending: OnEnding,
     ) -> None:
-        """``is_at_work`` says whether a run of this host goes on at a target."""
-        self._is_at_work = is_at_work
+        """``has_open_runs`` returns whether a run of this host is open at a target."""
+        self._has_open_runs = has_open_runs
         self._targets = targets
         self._network = network
         self._clock = clock
         self._on_ending = on_ending
         self._lost_by_incarnation: dict[TargetIncarnation, _Lost] = {}
-        self._looked_at: set[TargetIncarnation] = set()
+        self._checking: set[TargetIncarnation] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        targets.subscribe(self._hear)
+        targets.subscribe(self._handle_announcement)
 
-    def lost_connection(self, start: TargetIncarnation, url: str, now: float) -> None:
-        """Look into a target that lost a connection; once for all that break together."""
-        self._forget_old(now)
-        if not self._is_in_use(start):
+    def record_lost_connection(self, incarnation: TargetIncarnation, url: str, now: float) -> None:
+        """Start to check a target that lost a connection, once for all that break together."""
+        self._expire(now)
+        if not self._is_current(incarnation):
             return
-        self._lost_by_incarnation[start] = _Lost(url, now)
-        if start not in self._looked_at:
-            self._looked_at.add(start)
-            self._spawn(self._look(start, url))
+        self._lost_by_incarnation[incarnation] = _Lost(url, now)
+        if incarnation not in self._checking:
+            self._checking.add(incarnation)
+            self._spawn(self._check(incarnation, url))
 
     def close(self) -> None:
-        """Look no more."""
+        """Cancel the checks."""
         for task in self._tasks:
             task.cancel()
 
-    async def _look(self, start: TargetIncarnation, url: str) -> None:
+    async def _check(self, incarnation: TargetIncarnation, url: str) -> None:
         try:
-            for pause_s in LOOK_AFTER_S:
-                await self._clock.sleep(pause_s)
+            for delay_s in CHECK_DELAYS_S:
+                await self._clock.sleep(delay_s)
                 is_refused = await self._is_refused(url)
-                if start not in self._lost_by_incarnation:
+                if incarnation not in self._lost_by_incarnation:
                     return
-                # A target that has too many connections may refuse one and go on with the rest.
-                # One that ended leaves no run going on, or only some whose loss is on its way.
-                if is_refused and not self._is_at_work(start):
-                    self._report(start, Word.REFUSED)
+                # A target with too many connections may refuse one and serve the others. If a
+                # target ended, no run is open there, or only runs whose lost connection is not
+                # detected yet.
+                if is_refused and not self._has_open_runs(incarnation):
+                    self._report(incarnation, EndingSignal.REFUSED)
                     return
         finally:
-            self._looked_at.discard(start)
+            self._checking.discard(incarnation)
 
     async def _is_refused(self, url: str) -> bool:
         try:
-            _, writer = await self._network.dial(_address_of(url), CONNECT_S)
+            _, writer = await self._network.dial(_address_of(url), CONNECT_TIMEOUT_S)
         except ConnectionRefusedError:
             return True
         except (OSError, TimeoutError) as error:
@@ -113,56 +120,57 @@
         writer.close()
         return False
 
-    def _hear(self, announcement: Announcement, change: Change, now: float) -> None:
-        """Learn from an announcement that another start stands where a target was."""
+    def _handle_announcement(self, announcement: Announcement, change: Change, now: float) -> None:
+        """Detect from an announcement that another incarnation or target replaced a target."""
         if announcement.leaving:
-            self._lost_by_incarnation.pop(_start_of(announcement), None)
+            self._lost_by_incarnation.pop(_incarnation_of(announcement), None)
             return
         if change not in (Change.JOINED, Change.CHANGED):
             return
-        for start, lost in list(self._lost_by_incarnation.items()):
-            is_later_start = (
-                start.target == announcement.target and start.incarnation < announcement.incarnation
+        for incarnation, lost in list(self._lost_by_incarnation.items()):
+            is_restarted = (
+                incarnation.target == announcement.target
+                and incarnation.incarnation < announcement.incarnation
             )
-            takes_address = start.target != announcement.target and lost.url == announcement.url
-            if now - lost.at < REMEMBERED_S and (is_later_start or takes_address):
-                self._report(start, Word.RESTARTED)
-
-    def _report(self, start: TargetIncarnation, word: Word) -> None:
-        lost = self._lost_by_incarnation.pop(start)
-        self._on_ending(Ending(start, lost.at, word), self._clock.now())
-
-    def _is_in_use(self, start: TargetIncarnation) -> bool:
-        # One that left in good order, or said that it will, ends its last connections so.
-        known = self._targets.by_id.get(start.target)
-        return known is not None and known.announcement.incarnation == start.incarnation
-
-    def _forget_old(self, now: float) -> None:
-        old = [
-            start
-            for start, lost in self._lost_by_incarnation.items()
-            if now - lost.at > REMEMBERED_S
+            is_replaced = incarnation.target != announcement.target and lost.url == announcement.url
+            if now - lost.at < UNANSWERED_RETENTION_S and (is_restarted or is_replaced):
+                self._report(incarnation, EndingSignal.RESTARTED)
+
+    def _report(self, incarnation: TargetIncarnation, signal: EndingSignal) -> None:
+        lost = self._lost_by_incarnation.pop(incarnation)
+        self._on_ending(Ending(incarnation, lost.at, signal), self._clock.now())
+
+    def _is_current(self, incarnation: TargetIncarnation) -> bool:
+        # A target that left, or announced that it will, may break its last connections in doing so.
+        target = self._targets.by_id.get(incarnation.target)
+        return target is not None and target.announcement.incarnation == incarnation.incarnation
+
+    def _expire(self, now: float) -> None:
+        expired = [
+            incarnation
+            for incarnation, lost in self._lost_by_incarnation.items()
+            if now - lost.at > UNANSWERED_RETENTION_S
         ]
-        for start in old:
-            del self._lost_by_incarnation[start]
+        for incarnation in expired:
+            del self._lost_by_incarnation[incarnation]
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._note_done)
+        task.add_done_callback(self._on_task_done)
 
-    def _note_done(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log_event("ERROR", "target_look_failed", task.exception())
 
 
-def _start_of(announcement: Announcement) -> TargetIncarnation:
+def _incarnation_of(announcement: Announcement) -> TargetIncarnation:
     return TargetIncarnation(announcement.target, announcement.incarnation)
 
 
 def _address_of(url: str) -> str:
-    """Return where a URL's server listens.
+    """Return the address at which a URL's server listens.
 
     >>> _address_of("http://10.0.0.1:8789"), _address_of("https://10.0.0.1")
     ('10.0.0.1:8789', '10.0.0.1:443')
--- a/cranberrywall/quarantine/_evidence.py
+++ b/cranberrywall/quarantine/_evidence.py
@@ -1,4 +1,4 @@
-"""Hold which requests targets were at as they ended, as reported by all hosts.
+"""Requests that ran at each target when it ended, as reported by all hosts.
 
 Times are monotonic seconds of this host.
 """
@@ -6,93 +6,96 @@
 from collections.abc import Sequence
 
 from cranberrywall.quarantine._fingerprint import Fingerprint
-from cranberrywall.quarantine._judgement import Weights
+from cranberrywall.quarantine._inference import Weights
 from cranberrywall.targets import TargetIncarnation
 
-KEPT_S = 3600.0
-"""What is known of a target's end is kept so long, in seconds: a request that comes twice an hour
-and ends a target each time is found."""
+ENDING_RETENTION_S = 3600.0
+"""Retention of the evidence of a target's end, in seconds. It is long enough to detect a request
+that arrives twice an hour and ends a target each time."""
 
-MOST_ENDINGS = 256
-"""Ends of targets that are kept at most; the oldest go first."""
+MAX_ENDINGS = 256
+"""Maximum number of ends of targets; the oldest are evicted first."""
 
-MOST_JUDGED = 64
-"""The newest ends that are weighed together: they are what a burst leaves, and bound its cost."""
+MAX_EVALUATED = 64
+"""Maximum number of ends that are evaluated together. The newest ones are what a burst leaves, and
+the limit bounds the cost."""
 
 
-class _Known:
-    __slots__ = ("heard_at", "is_told_by_us", "weight_by_fingerprint")
+class _EndingRecord:
+    __slots__ = ("received_at", "is_reported_by_us", "weight_by_fingerprint")
 
     def __init__(self, now: float) -> None:
-        self.heard_at = now
-        self.is_told_by_us = False
+        self.received_at = now
+        self.is_reported_by_us = False
         self.weight_by_fingerprint: dict[Fingerprint, float] = {}
 
 
 class Evidence:
-    """Hold the ends of targets, oldest first."""
+    """Ends of targets with the requests that ran there, oldest first."""
 
     def __init__(self) -> None:
-        self._by_incarnation: dict[TargetIncarnation, _Known] = {}
-        self._starts_by_fingerprint: dict[Fingerprint, set[TargetIncarnation]] = {}
+        self._by_incarnation: dict[TargetIncarnation, _EndingRecord] = {}
+        self._incarnations_by_fingerprint: dict[Fingerprint, set[TargetIncarnation]] = {}
 
     def __len__(self) -> int:
         return len(self._by_incarnation)
 
     def add(
-        self, start: TargetIncarnation, weights: Weights, now: float
+        self, incarnation: TargetIncarnation, weights: Weights, now: float
     ) -> Sequence[TargetIncarnation]:
-        """Take in a host's report; return what this host told of ends forgotten to make room."""
-        known = self._by_incarnation.setdefault(start, _Known(now))
+        """Add a host's report; return the evicted ends that this host had reported."""
+        record = self._by_incarnation.setdefault(incarnation, _EndingRecord(now))
         for fingerprint, weight in weights.items():
-            held = known.weight_by_fingerprint.get(fingerprint, 0.0)
-            known.weight_by_fingerprint[fingerprint] = max(held, weight)
-            self._starts_by_fingerprint.setdefault(fingerprint, set()).add(start)
-        spare = len(self._by_incarnation) - MOST_ENDINGS
-        return self._forget(list(self._by_incarnation)[: max(0, spare)])
-
-    def knows(self, start: TargetIncarnation) -> bool:
-        """Say whether the end of this start of a target is known already."""
-        return start in self._by_incarnation
-
-    def tell(self, start: TargetIncarnation) -> bool:
-        """Say whether this host's own report is due, and take it as told from now on."""
-        known = self._by_incarnation.get(start)
-        if known is None:
+            weight_before = record.weight_by_fingerprint.get(fingerprint, 0.0)
+            record.weight_by_fingerprint[fingerprint] = max(weight_before, weight)
+            self._incarnations_by_fingerprint.setdefault(fingerprint, set()).add(incarnation)
+        excess = len(self._by_incarnation) - MAX_ENDINGS
+        return self._remove(list(self._by_incarnation)[: max(0, excess)])
+
+    def has_ending(self, incarnation: TargetIncarnation) -> bool:
+        """Return whether the end of a target's incarnation is recorded."""
+        return incarnation in self._by_incarnation
+
+    def mark_reported(self, incarnation: TargetIncarnation) -> bool:
+        """Return whether this host has yet to report an end, and mark it as reported."""
+        record = self._by_incarnation.get(incarnation)
+        if record is None:
             return True
-        was_told, known.is_told_by_us = known.is_told_by_us, True
-        return not was_told
+        was_reported, record.is_reported_by_us = record.is_reported_by_us, True
+        return not was_reported
 
-    def starts_of(self, fingerprint: Fingerprint) -> Sequence[TargetIncarnation]:
-        """Return the targets that ended under a request."""
-        return sorted(self._starts_by_fingerprint.get(fingerprint, ()))
+    def incarnations_of(self, fingerprint: Fingerprint) -> Sequence[TargetIncarnation]:
+        """Return the incarnations of targets that ended while they ran a request."""
+        return sorted(self._incarnations_by_fingerprint.get(fingerprint, ()))
 
     def clear(self, fingerprint: Fingerprint) -> None:
-        """Forget what speaks against a request."""
-        for start in self._starts_by_fingerprint.pop(fingerprint, ()):
-            self._by_incarnation[start].weight_by_fingerprint.pop(fingerprint, None)
+        """Remove the evidence against a request."""
+        for incarnation in self._incarnations_by_fingerprint.pop(fingerprint, ()):
+            self._by_incarnation[incarnation].weight_by_fingerprint.pop(fingerprint, None)
 
     def newest(self) -> Sequence[Weights]:
         """Return the weights of the newest ends."""
-        newest = list(self._by_incarnation.values())[-MOST_JUDGED:]
-        return [known.weight_by_fingerprint for known in newest]
+        newest = list(self._by_incarnation.values())[-MAX_EVALUATED:]
+        return [record.weight_by_fingerprint for record in newest]
 
-    def forget_old(self, now: float) -> Sequence[TargetIncarnation]:
-        """Forget the ends that are too long ago; return those of which this host told."""
+    def remove_expired(self, now: float) -> Sequence[TargetIncarnation]:
+        """Remove the ends that are too old; return those that this host had reported."""
         old = [
-            start for start, known in self._by_incarnation.items() if now - known.heard_at > KEPT_S
+            incarnation
+            for incarnation, record in self._by_incarnation.items()
+            if now - record.received_at > ENDING_RETENTION_S
         ]
-        return self._forget(old)
-
-    def _forget(self, starts: Sequence[TargetIncarnation]) -> Sequence[TargetIncarnation]:
-        told: list[TargetIncarnation] = []
-        for start in starts:
-            known = self._by_incarnation.pop(start)
-            if known.is_told_by_us:
-                told.append(start)
-            for fingerprint in known.weight_by_fingerprint:
-                others = self._starts_by_fingerprint[fingerprint]
-                others.discard(start)
+        return self._remove(old)
+
+    def _remove(self, incarnations: Sequence[TargetIncarnation]) -> Sequence[TargetIncarnation]:
+        reported: list[TargetIncarnation] = []
+        for incarnation in incarnations:
+            record = self._by_incarnation.pop(incarnation)
+            if record.is_reported_by_us:
+                reported.append(incarnation)
+            for fingerprint in record.weight_by_fingerprint:
+                others = self._incarnations_by_fingerprint[fingerprint]
+                others.discard(incarnation)
                 if not others:
-                    del self._starts_by_fingerprint[fingerprint]
-        return told
+                    del self._incarnations_by_fingerprint[fingerprint]
+        return reported
--- a/cranberrywall/quarantine/_fingerprint.py
+++ b/cranberrywall/quarantine/_fingerprint.py
@@ -1,16 +1,16 @@
-"""Tell whether two arrivals are the same request."""
+"""Fingerprints by which hosts recognise that two arrivals are the same request."""
 
 import xxhash
 
 Fingerprint = bytes
-"""16 bytes of hash. Collisions can be made on purpose, but only within one caller's requests."""
+"""Hash of 16 bytes. A caller can produce collisions on purpose, but only among its own requests."""
 
 
 def fingerprint_of(caller: str, path: str, body: bytes) -> Fingerprint:
-    """Return the hash of what makes a request the same one wherever and whenever it comes.
+    """Return the hash of what identifies a request, whenever it arrives and at whichever host.
 
-    The request's id, its headers, the route and the host that took it in don't count: a caller
-    that sends the same once more gives it another id, and may come to another host.
+    The request id, the headers, the route and the host that received the request are not included:
+    a caller that repeats a request gives it another id, and may send it to another host.
 
     >>> fingerprint_of("desk", "/a/1", b"x") == fingerprint_of("desk", "/a/1", b"x")
     True
--- a/cranberrywall/quarantine/_items.py
+++ b/cranberrywall/quarantine/_items.py
@@ -1,4 +1,4 @@
-"""Read what other hosts pass on about targets' ends and requests held back."""
+"""Decode the gossip items about ends of targets and held requests."""
 
 from typing import TypeVar
 
@@ -11,13 +11,13 @@
 
 
 def decode_item(item: Item, expected: type[T]) -> T | None:
-    """Return an item's message; ``None`` where the fact is gone, or can't be read."""
+    """Return an item's message; ``None`` if the item was removed or can't be decoded."""
     if not item.payload:
         return None
     try:
         message = QUARANTINE_CODEC.decode(item.payload)
     except MalformedMessageError as error:
-        # A host of another version may say more than this one understands.
+        # A host of another version may send a message that this version cannot decode.
         log_event("WARNING", "quarantine_item_malformed", topic=item.topic, reason=str(error))
         return None
     return message if isinstance(message, expected) else None
--- a/cranberrywall/quarantine/_orders.py
+++ b/cranberrywall/quarantine/_operator_calls.py
@@ -1,4 +1,4 @@
-"""Let operators hold requests back and let them run again."""
+"""Call by which operators hold requests and release them."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -11,12 +11,12 @@
 from cranberrywall.quarantine._quarantine import Quarantine
 
 FINGERPRINT_BYTES = 16
-LEAST_DIGITS = 8
-"""Digits of a fingerprint that an operator must give at least, where it names a held request."""
+MIN_PREFIX_DIGITS = 8
+"""Minimum number of digits of a fingerprint prefix by which an operator names a held request."""
 
 
 class QuarantineRequest(NamedTuple):
-    """Ask a host to hold a request back on all hosts, or to let it run again."""
+    """Request to a host to hold a request on all hosts, or to release it."""
 
     fingerprint: str
     is_held: bool
@@ -24,7 +24,7 @@
 
 
 class QuarantineReply(NamedTuple):
-    """Name the request in full."""
+    """Full fingerprint of the request."""
 
     fingerprint: str
 
@@ -33,13 +33,13 @@
 
 
 def register_quarantine(server: Server, quarantine: Quarantine) -> None:
-    """Answer ``QUARANTINE`` at ``server``."""
+    """Register the handler of ``QUARANTINE`` at ``server``."""
 
     async def answer(request: QuarantineRequest, peer: Peer) -> Result[QuarantineReply, Refusal]:
         if request.is_held:
-            found = _read(request.fingerprint)
+            found = _parse(request.fingerprint)
         else:
-            found = _find(request.fingerprint, quarantine.held_now())
+            found = _find(request.fingerprint, quarantine.held_fingerprints())
         if isinstance(found, Err):
             return Err(found.err_value)
         fingerprint = found.ok_value
@@ -52,28 +52,34 @@
     server.register(QUARANTINE, answer)
 
 
-def _read(text: str) -> Result[Fingerprint, Refusal]:
+def _parse(text: str) -> Result[Fingerprint, Refusal]:
     """Return a fingerprint that is given in full."""
     try:
         fingerprint = bytes.fromhex(text)
     except ValueError:
         fingerprint = b""
     if len(fingerprint) != FINGERPRINT_BYTES:
-        remedy = "give the 32 digits that `fingerprint` has in the line of request_ended"
-        return Err(_bad(f"{text!r} is not a whole fingerprint", remedy))
+        remedy = "give the 32 digits of the field `fingerprint` in the log event request_ended"
+        return Err(_bad_request(f"{text!r} is not a complete fingerprint", remedy))
     return Ok(fingerprint)
 
 
 def _find(text: str, held: Sequence[Fingerprint]) -> Result[Fingerprint, Refusal]:
-    """Return the held request whose fingerprint begins so."""
+    """Return the held request whose fingerprint starts with ``text``."""
     found = [one for one in held if one.hex().startswith(text.lower())]
-    if len(text) >= LEAST_DIGITS and len(found) == 1:
+    if len(text) >= MIN_PREFIX_DIGITS and len(found) == 1:
         return Ok(found[0])
-    remedy = "give one that `cranberrywallctl quarantine list` shows"
+    remedy = "give a fingerprint that `cranberrywallctl quarantine list` shows"
     if not found:
-        return Err(_bad(f"no held request has a fingerprint that begins with {text!r}", remedy))
-    return Err(_bad(f"{text!r} begins more than one fingerprint, or is under 8 digits", remedy))
+        return Err(
+            _bad_request(f"no held request has a fingerprint that starts with {text!r}", remedy)
+        )
+    return Err(
+        _bad_request(
+            f"{text!r} is the start of more than one fingerprint, or has under 8 digits", remedy
+        )
+    )
 
 
-def _bad(message: str, remedy: str) -> Refusal:
+def _bad_request(message: str, remedy: str) -> Refusal:
     return Refusal(ErrorKind.BAD_REQUEST, message, "FINGERPRINT", remedy)
--- a/cranberrywall/quarantine/_runs.py
+++ b/cranberrywall/quarantine/_runs.py
@@ -1,4 +1,4 @@
-"""Remember which requests this host has at each target, and for a while those it had.
+"""Runs of this host's requests at each target, including recent runs without an answer.
 
 Times are monotonic seconds.
 """
@@ -9,25 +9,26 @@
 from cranberrywall.quarantine._fingerprint import Fingerprint
 from cranberrywall.targets import TargetIncarnation
 
-REMEMBERED_S = 12.0
-"""A run that came to no answer is remembered this long, in seconds: that its target ended may
-be known only once the target is back, and announces itself again."""
+UNANSWERED_RETENTION_S = 12.0
+"""Retention of a run without a complete answer, in seconds. The end of its target may be detected
+only when the target is back and announces itself again."""
 
-MOST_REMEMBERED = 4096
-"""Runs that came to no answer and are remembered at most, over all targets."""
+MAX_UNANSWERED = 4096
+"""Maximum number of retained runs without a complete answer, over all targets."""
 
-JUST_ENDED_S = 1.0
-"""A run that broke, or that this host gave up, may have been under way at a target that ended so
-long after, in seconds: connections of one process close within milliseconds, but this host may be
-late to see them all, and a target works on for a while after its caller left."""
+ENDING_TOLERANCE_S = 1.0
+"""Tolerance between the end of a run and the end of its target, in seconds. A run that broke, or
+that this host abandoned, may still have been running at a target that ended this much later. The
+connections of a process close within milliseconds, but this host may detect some of them late, and
+a target continues to run a request for a while after its caller left."""
 
 
 class RunEnd(StrEnum):
-    """Say how a run at a target ended, as far as it tells of the target's end.
+    """How a run at a target ended, as far as this is evidence about the target.
 
-    ``WHOLE``: the target answered to the end. ``NOT_SERVED``: it lives on, and did not run the
-    request or failed it, which says nothing of the request.
-    ``BROKEN``: the connection was lost. ``GIVEN_UP``: this host ended it, or lost patience.
+    ``WHOLE``: the target sent a complete answer. ``NOT_SERVED``: the target still works, but it did
+    not run the request or failed it, which is no evidence about the request. ``BROKEN``: the
+    connection was lost. ``GIVEN_UP``: this host stopped the run, or it timed out.
     """
 
     WHOLE = "whole"
@@ -37,11 +38,11 @@
 
 
 class Run:
-    """Hold one attempt at a target.
+    """One attempt at a target.
 
-    ``is_streamed`` says that a target answers with the head as it begins to run the request,
-    and not only once it has run it. ``on_stop`` ends it early; it may be called at any time until
-    the run's end.
+    ``is_streamed`` is true if the target sends the head of its answer as it starts to run the
+    request, and not only after it has run it. ``on_stop`` ends the run early; it may be called at
+    any time until the end of the run.
     """
 
     __slots__ = (
@@ -53,14 +54,18 @@
         "is_streamed",
         "on_stop",
         "request_id",
-        "start",
+        "target_incarnation",
     )
 
     def __init__(
-        self, request_id: str, start: TargetIncarnation, fingerprint: Fingerprint, is_streamed: bool
+        self,
+        request_id: str,
+        incarnation: TargetIncarnation,
+        fingerprint: Fingerprint,
+        is_streamed: bool,
     ) -> None:
         self.request_id = request_id
-        self.start = start
+        self.target_incarnation = incarnation
         self.fingerprint = fingerprint
         self.is_streamed = is_streamed
         self.on_stop: Callable[[], None] = _do_nothing
@@ -70,23 +75,23 @@
         self.ended_at = 0.0
 
     def answered_s(self, at: float) -> float | None:
-        """Return for how long the target had answered by then, in seconds."""
+        """Return for how long the target had been answering at a time, in seconds."""
         return None if self.answered_at is None else max(0.0, at - self.answered_at)
 
 
 class Runs:
-    """Hold the runs under way at each start of a target, and those that came to no answer."""
+    """Open runs at each incarnation of a target, and recent runs without a complete answer."""
 
     def __init__(self) -> None:
         self._by_incarnation: dict[TargetIncarnation, set[Run]] = {}
         self._unanswered: dict[Run, None] = {}
 
     def add(self, run: Run) -> None:
-        """Take in a run that is sent now."""
-        self._by_incarnation.setdefault(run.start, set()).add(run)
+        """Add a run that is sent now."""
+        self._by_incarnation.setdefault(run.target_incarnation, set()).add(run)
 
     def finish(self, run: Run, end: RunEnd, now: float) -> None:
-        """Note how a run ended; a second call does nothing."""
+        """Record how a run ended; a second call does nothing."""
         if run.end is not None:
             return
         run.end, run.ended_at = end, now
@@ -94,34 +99,36 @@
             self._drop(run)
             return
         self._unanswered[run] = None
-        if len(self._unanswered) > MOST_REMEMBERED:
-            self._forget(next(iter(self._unanswered)))
-
-    def under_way(self, start: TargetIncarnation, ended_at: float) -> Sequence[Run]:
-        """Return the runs that a target may have been at as it ended."""
-        return [run for run in self._by_incarnation.get(start, ()) if _was_under_way(run, ended_at)]
-
-    def has_open(self, start: TargetIncarnation) -> bool:
-        """Say whether a run goes on at a target, as far as this host knows."""
-        return any(run.end is None for run in self._by_incarnation.get(start, ()))
-
-    def broke_at(self, start: TargetIncarnation) -> float | None:
-        """Return when this host last lost a connection to a target; ``None`` where it did not."""
-        runs = self._by_incarnation.get(start, ())
+        if len(self._unanswered) > MAX_UNANSWERED:
+            self._remove_unanswered(next(iter(self._unanswered)))
+
+    def running_at(self, incarnation: TargetIncarnation, ended_at: float) -> Sequence[Run]:
+        """Return the runs that a target may have been running as it ended."""
+        return [
+            run for run in self._by_incarnation.get(incarnation, ()) if _was_running(run, ended_at)
+        ]
+
+    def has_open(self, incarnation: TargetIncarnation) -> bool:
+        """Return whether a run of this host is open at a target."""
+        return any(run.end is None for run in self._by_incarnation.get(incarnation, ()))
+
+    def last_broken_at(self, incarnation: TargetIncarnation) -> float | None:
+        """Return when this host last lost a connection to a target; ``None`` if it lost none."""
+        runs = self._by_incarnation.get(incarnation, ())
         return max((run.ended_at for run in runs if run.end is RunEnd.BROKEN), default=None)
 
-    def under_way_of(self, fingerprint: Fingerprint) -> int:
-        """Return how often this host has a request at targets now."""
+    def count_open(self, fingerprint: Fingerprint) -> int:
+        """Return the number of open runs of a request from this host."""
         runs = (run for runs in self._by_incarnation.values() for run in runs)
         return sum(run.end is None and run.fingerprint == fingerprint for run in runs)
 
-    def name_of(self, fingerprint: Fingerprint) -> str:
-        """Return an id under which a request came to this host lately; empty if it did not."""
+    def request_id_of(self, fingerprint: Fingerprint) -> str:
+        """Return the id of a recent arrival of a request at this host; empty if there is none."""
         runs = (run for runs in self._by_incarnation.values() for run in runs)
         return next((run.request_id for run in runs if run.fingerprint == fingerprint), "")
 
     def stop(self, fingerprint: Fingerprint) -> int:
-        """End what this host has of a request at targets; return how many runs."""
+        """Stop all runs of a request from this host; return the number of runs."""
         stopped = 0
         for run in [run for runs in self._by_incarnation.values() for run in runs]:
             if run.end is None and run.fingerprint == fingerprint:
@@ -130,30 +137,30 @@
                 stopped += 1
         return stopped
 
-    def forget_old(self, now: float) -> None:
-        """Forget the runs of which nothing more can be learned."""
+    def expire(self, now: float) -> None:
+        """Remove the runs that are too old to be evidence."""
         while self._unanswered:
             oldest = next(iter(self._unanswered))
-            if now - oldest.ended_at < REMEMBERED_S:
+            if now - oldest.ended_at < UNANSWERED_RETENTION_S:
                 return
-            self._forget(oldest)
+            self._remove_unanswered(oldest)
 
-    def _forget(self, run: Run) -> None:
+    def _remove_unanswered(self, run: Run) -> None:
         del self._unanswered[run]
         self._drop(run)
 
     def _drop(self, run: Run) -> None:
-        runs = self._by_incarnation.get(run.start)
+        runs = self._by_incarnation.get(run.target_incarnation)
         if runs is None:
             return
         runs.discard(run)
         if not runs:
-            del self._by_incarnation[run.start]
+            del self._by_incarnation[run.target_incarnation]
 
 
 def _do_nothing() -> None:
     pass
 
 
-def _was_under_way(run: Run, ended_at: float) -> bool:
-    return run.end is None or run.ended_at >= ended_at - JUST_ENDED_S
+def _was_running(run: Run, ended_at: float) -> bool:
+    return run.end is None or run.ended_at >= ended_at - ENDING_TOLERANCE_S
--- a/cranberrywall/quarantine/_stopping.py
+++ b/cranberrywall/quarantine/_stoppable.py
@@ -1,4 +1,4 @@
-"""Let a run at a target be ended early."""
+"""Timeout that also ends a run when the run is stopped."""
 
 import asyncio
 
@@ -6,9 +6,10 @@
 
 
 def stoppable(run: Run, seconds: float | None) -> asyncio.Timeout:
-    """Return a limit for a run's time, which is over at once when the run is stopped.
+    """Return a timeout for a run, which expires immediately when the run is stopped.
 
-    The block that it limits raises ``TimeoutError`` either way; ``run.is_stopped`` tells which.
+    The block that it limits raises ``TimeoutError`` in both cases; ``run.is_stopped`` is true if
+    the run was stopped.
     """
     limit = asyncio.timeout(seconds)
 
--- a/cranberrywall/quarantine/messages.py
+++ b/cranberrywall/quarantine/messages.py
@@ -1,4 +1,4 @@
-"""Define what entry hosts tell each other of targets that ended and requests held back."""
+"""Messages in which entry hosts report ended targets and decide about requests."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,14 +7,14 @@
 
 
 class Suspicion(NamedTuple):
-    """Name a request that a target was at as it ended; ``percent`` is its weight."""
+    """Request that a target was running as it ended; ``percent`` is its weight."""
 
     fingerprint: bytes
     percent: int
 
 
 class EndingReport(NamedTuple):
-    """Report one host's requests at a start of a target that ended."""
+    """One host's requests at a target's incarnation that ended."""
 
     target: str
     incarnation: int
@@ -23,10 +23,10 @@
 
 
 class DecisionState(StrEnum):
-    """Say what holds for a request.
+    """State of a request.
 
-    ``HELD``: it is refused. ``CLEARED``: a target answered it whole, so what spoke against it is
-    forgotten. ``LIFTED``: an operator let it run again.
+    ``HELD``: it is refused. ``CLEARED``: a target answered it completely, so the evidence against
+    it is discarded. ``LIFTED``: an operator released it.
     """
 
     HELD = "held"
@@ -35,9 +35,10 @@
 
 
 class Decision(NamedTuple):
-    """Say what holds for a request, by whom, and which targets ended under it.
+    """Decision about a request, with the targets that ended while they ran it.
 
-    ``by`` is a host, or an operator. ``request_id`` is one under which it came, as far as known.
+    ``by`` is the host or the operator that decided. ``request_id`` is the id of one of its
+    arrivals, or empty if none is recorded.
     """
 
     fingerprint: bytes
--- a/cranberrywall/targets/__init__.py
+++ b/cranberrywall/targets/__init__.py
@@ -1,4 +1,4 @@
-"""Know the targets: announcements, health, load and cached prefixes."""
+"""Track the targets: announcements, health, load, requested backoffs and cached prefixes."""
 
 from cranberrywall.targets._backoffs import Backoffs
 from cranberrywall.targets._connections import (
--- a/cranberrywall/targets/_connections.py
+++ b/cranberrywall/targets/_connections.py
@@ -1,4 +1,4 @@
-"""Connect to targets, and send nothing once a target is not offered any more."""
+"""Connections to targets that are checked again before the first byte is sent."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -14,14 +14,14 @@
 
 
 class TargetWithdrawnError(Exception):
-    """Report that no byte was sent, since the target left while the connection was made."""
+    """Raised if the target was withdrawn during connection setup; no byte was sent."""
 
 
 @contextmanager
 def while_offered(is_offered: IsOffered) -> Iterator[None]:
-    """Let requests of this task fail with ``TargetWithdrawnError`` where ``is_offered`` is false.
+    """Make requests of this task raise ``TargetWithdrawnError`` if ``is_offered`` returns false.
 
-    It is asked when the connection stands, just before the first byte.
+    ``is_offered`` is called once the connection is established, just before the first byte is sent.
     """
     token = _is_offered.set(is_offered)
     try:
@@ -31,18 +31,18 @@
 
 
 class TargetConnector(aiohttp.TCPConnector):
-    """Make or reuse connections for requests to targets that are still offered.
+    """Connector that returns connections only to targets that are still offered.
 
-    A request has its place at a target before it has a connection, which may take over half a
-    second. A target that says meanwhile that it leaves must not get it: it may end before the
-    answer.
+    A request is assigned to a target before it has a connection, and connection setup may take over
+    half a second. If the target announces during this time that it leaves, the request must not be
+    sent to it: the target may stop before it has answered.
     """
 
     async def connect(self, *args: Any, **keywords: Any) -> Connection:
-        """Return a connection, or close it again where the target left meanwhile."""
+        """Return a connection; close it and raise if the target was withdrawn meanwhile."""
         connection = await super().connect(*args, **keywords)
         is_offered = _is_offered.get()
         if is_offered is not None and not is_offered():
             connection.close()
-            raise TargetWithdrawnError("the target left while the connection was made")
+            raise TargetWithdrawnError("the target was withdrawn during connection setup")
         return connection
--- a/cranberrywall/targets/_decimal_field.py
+++ b/cranberrywall/targets/_decimal_field.py
@@ -1,19 +1,19 @@
-"""Read a header field that should hold one decimal number."""
+"""Parse a header field that holds one decimal number."""
 
 import re
 from collections.abc import Sequence
 from typing import NamedTuple
 
-SHOWN_CHARACTERS = 32
-"""An unreadable value is shown up to this length."""
+MAX_SHOWN_CHARACTERS = 32
+"""Maximum number of characters of an unreadable value that are kept for logs."""
 
 _DECIMAL = re.compile(r"\d{1,9}(\.\d{1,9})?|\.\d{1,9}")
 
 
 class DecimalField(NamedTuple):
-    """Hold what a field says; ``number`` is ``None`` where it is absent or unreadable.
+    """Parsed value of a field; ``number`` is ``None`` if the field is absent or unreadable.
 
-    ``unreadable`` is what stands there where that is not one number.
+    ``unreadable`` is the text of a field that is not one decimal number; otherwise it is empty.
     """
 
     number: float | None = None
@@ -34,7 +34,7 @@
 
 
 def read_decimal_field(values: Sequence[str]) -> DecimalField:
-    """Return what the values of a field say: none of them, one, or too many.
+    """Return the parsed field, given all values that the message has for it.
 
     >>> read_decimal_field(["2.5"]).number, read_decimal_field([" 0 "]).number
     (2.5, 0.0)
@@ -52,4 +52,4 @@
 
 
 def _unreadable(text: str) -> DecimalField:
-    return DecimalField(None, text[:SHOWN_CHARACTERS] or "nothing")
+    return DecimalField(None, text[:MAX_SHOWN_CHARACTERS] or "nothing")
--- a/cranberrywall/targets/_health.py
+++ b/cranberrywall/targets/_health.py
@@ -1,4 +1,4 @@
-"""Judge a target by what its requests and probes show, and let it back in gently.
+"""Health of a target: outlier ejection by requests and probes, and slow start afterwards.
 
 Times are monotonic seconds.
 """
@@ -7,128 +7,133 @@
 
 from cranberrywall.runtime import Random
 
-FAILURES_IN_A_ROW = 3
-"""So many failures without an answer between them eject a target."""
+CONSECUTIVE_FAILURES_TO_EJECT = 3
+"""Number of consecutive failures that ejects a target."""
 
-FAILURE_SHARE = 0.5
-"""A smoothed share of failures above this ejects a target."""
+MAX_FAILURE_SHARE = 0.5
+"""A target is ejected if its smoothed share of failures exceeds this."""
 
-SHARE_LEARNING = 0.1
-"""Weight of one outcome in the share of failures."""
+FAILURE_SHARE_SMOOTHING = 0.1
+"""Exponential smoothing factor of the share of failures: the weight of one outcome."""
 
-FAILURE_FADE_S = 10.0
-"""The share of failures fades with this time constant, in seconds."""
+FAILURE_DECAY_S = 10.0
+"""Time constant with which the share of failures decays, in seconds."""
 
-FIRST_EJECTION_S = 5.0
-LONGEST_EJECTION_S = 120.0
+MIN_EJECTION_S = 5.0
+MAX_EJECTION_S = 120.0
 
-FORGIVEN_S = 120.0
-"""After this long in use without ejection the next one is short again, in seconds."""
+EJECTION_RESET_S = 120.0
+"""The ejection time is reset to the shortest one after this time without ejection, in seconds."""
 
-SILENCE_S = 5.0
-"""A target that owes a first token and says nothing at all this long is silent."""
+UNRESPONSIVE_TIMEOUT_S = 5.0
+"""Time without any response after which a target that owes a first token is unresponsive, in
+seconds."""
 
-SLOW_START_S = 10.0
-"""A target that joins or comes back gets its full share only after this long, in seconds."""
+SLOW_START_DURATION_S = 10.0
+"""Time until a target that joins or returns gets its full share of requests, in seconds."""
 
-SLOW_START_FROM = 0.2
+SLOW_START_MIN_SHARE = 0.2
 
 
 class Health:
-    """Hold the evidence on one target."""
+    """Health record of one target: its recent failures, its ejections and its owed first tokens."""
 
     def __init__(self, since: float, slow_start: bool) -> None:
-        self._since = since if slow_start else since - SLOW_START_S
-        self._failures_in_a_row = 0
+        self._since = since if slow_start else since - SLOW_START_DURATION_S
+        self._consecutive_failures = 0
         self._failure_share = 0.0
-        self._judged_at = since
+        self._failure_share_at = since
         self._ejected_until = 0.0
         self._ejections = 0
         self._on_trial = False
-        self._owed = 0
-        self._heard_at = since
+        self._owed_tokens = 0
+        self._last_response_at = since
 
     def failure_share(self, now: float) -> float:
         """Return the smoothed share of failures among the outcomes.
 
-        It fades with time: a target that is avoided for its failures has no outcomes that
-        could show that it is well again.
+        The share decays with time: a target that is avoided because of its failures has no outcomes
+        that could show that it works again.
         """
-        return self._failure_share * exp(-max(0.0, now - self._judged_at) / FAILURE_FADE_S)
+        return self._failure_share * exp(-max(0.0, now - self._failure_share_at) / FAILURE_DECAY_S)
 
     def is_ejected(self, now: float) -> bool:
-        """Say whether the target is set aside."""
+        """Return whether the target is ejected."""
         return now < self._ejected_until
 
     def is_on_trial(self, now: float) -> bool:
-        """Say whether the target is back but has not answered yet: one request at a time."""
+        """Return whether the target must answer one request first, since its ejection is over."""
         return self._on_trial and not self.is_ejected(now)
 
     def is_unresponsive(self, now: float) -> bool:
-        """Say whether the target owes first tokens and has said nothing for too long."""
-        # A target that accepts and never answers has no outcomes to count for as long as
-        # callers wait, while its requests seem merely to run. Only its silence shows it.
-        return self._owed > 0 and now - self._heard_at > SILENCE_S
+        """Return whether the target owes first tokens and has sent nothing for too long."""
+        # A target that accepts requests and never answers produces no outcomes for as long as
+        # callers wait; its requests seem to be running. Only the missing response shows the fault.
+        return self._owed_tokens > 0 and now - self._last_response_at > UNRESPONSIVE_TIMEOUT_S
 
     def capacity_share(self, now: float) -> float:
-        """Return the share of capacity to use: it rises slowly after a start."""
+        """Return the share of capacity to use: it rises linearly during the slow start."""
         age = max(0.0, now - self._since)
-        return min(1.0, SLOW_START_FROM + (1.0 - SLOW_START_FROM) * age / SLOW_START_S)
+        return min(
+            1.0, SLOW_START_MIN_SHARE + (1.0 - SLOW_START_MIN_SHARE) * age / SLOW_START_DURATION_S
+        )
 
     def record_sent(self, now: float) -> None:
-        """Note a request that the target now owes a first token for."""
-        if self._owed == 0:
-            self._heard_at = now
-        self._owed += 1
+        """Record a request for which the target now owes a first token."""
+        if self._owed_tokens == 0:
+            self._last_response_at = now
+        self._owed_tokens += 1
 
     def record_response(self, now: float) -> None:
-        """Note a first token, or the end of a request without one."""
-        self._owed -= 1
-        self._heard_at = now
+        """Record a first token, or the end of a request without one."""
+        self._owed_tokens -= 1
+        self._last_response_at = now
 
     def record_abandoned(self) -> None:
-        """Note that a first token is no longer waited for; it is no sign of life."""
-        self._owed -= 1
+        """Record that this host stopped waiting for a first token; this is not a response."""
+        self._owed_tokens -= 1
 
     def answered(self, now: float) -> None:
-        """Note a whole answer."""
-        self._failures_in_a_row = 0
-        self._failure_share = (1.0 - SHARE_LEARNING) * self.failure_share(now)
-        self._judged_at = now
+        """Record a complete answer."""
+        self._consecutive_failures = 0
+        self._failure_share = (1.0 - FAILURE_SHARE_SMOOTHING) * self.failure_share(now)
+        self._failure_share_at = now
         if self._on_trial:
             self._on_trial = False
             self._since = now
-        if now - self._since > FORGIVEN_S:
+        if now - self._since > EJECTION_RESET_S:
             self._ejections = 0
 
     def failed(self, now: float, may_eject: bool, random: Random) -> bool:
-        """Note a failure; return whether the target is now ejected for it.
+        """Record a failure; return whether the target is now ejected because of it.
 
-        ``may_eject`` is false where too many targets are ejected already.
+        ``may_eject`` is false if too many targets are ejected already.
         """
-        self._failures_in_a_row += 1
+        self._consecutive_failures += 1
         share = self.failure_share(now)
-        self._failure_share = share + SHARE_LEARNING * (1.0 - share)
-        self._judged_at = now
+        self._failure_share = share + FAILURE_SHARE_SMOOTHING * (1.0 - share)
+        self._failure_share_at = now
         if self.is_ejected(now):
             return False
-        too_many = self._failures_in_a_row >= FAILURES_IN_A_ROW
-        if not may_eject or not (self._on_trial or too_many or self._failure_share > FAILURE_SHARE):
+        too_many_failures = self._consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT
+        if not may_eject or not (
+            self._on_trial or too_many_failures or self._failure_share > MAX_FAILURE_SHARE
+        ):
             return False
         self._eject(now, random)
         return True
 
-    def record_probe(self, well: bool, now: float) -> None:
-        """Take in a probe of an ejected target: an answer ends the ejection."""
-        if well and self.is_ejected(now):
+    def record_probe(self, is_healthy: bool, now: float) -> None:
+        """Record a probe of an ejected target: a successful one ends the ejection."""
+        if is_healthy and self.is_ejected(now):
             self._ejected_until = now
 
     def _eject(self, now: float, random: Random) -> None:
-        seconds = min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2**self._ejections)
-        # Jitter: hosts that ejected a target at the same time must not all come back to
-        # it at the same time.
+        seconds = min(MAX_EJECTION_S, MIN_EJECTION_S * 2**self._ejections)
+        # Jitter: hosts that ejected a target at the same time must not all return to it at the same
+        # time.
         self._ejected_until = now + seconds * random.uniform(0.75, 1.25)
         self._ejections += 1
-        self._failures_in_a_row = 0
+        self._consecutive_failures = 0
         self._failure_share = 0.0
         self._on_trial = True
--- a/cranberrywall/targets/_http.py
+++ b/cranberrywall/targets/_http.py
@@ -1,4 +1,4 @@
-"""Answer targets that announce themselves over HTTP."""
+"""HTTP route by which targets announce themselves."""
 
 import hmac
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 def make_announce_routes(
     targets: Targets, target_key: str, clock: Clock, publish: Publish
 ) -> list[web.RouteDef]:
-    """Return the routes that targets call; each accepted announcement goes to ``publish``.
+    """Return the routes that targets call; each accepted announcement is passed to ``publish``.
 
     ``target_key`` is the bearer key that all targets of the fleet share.
     """
@@ -39,20 +39,20 @@
     async def announce(self, request: web.Request) -> web.Response:
         given = request.headers.get("Authorization", "").encode("utf-8", "surrogateescape")
         if not hmac.compare_digest(given, self._authorization):
-            return _refused(_WRONG_KEY)
+            return _refusal_response(_WRONG_KEY)
         if (request.content_length or 0) > MAX_BODY_BYTES:
-            return _refused(_TOO_LARGE)
+            return _refusal_response(_TOO_LARGE)
         announcement = read_announcement(await request.read())
         if announcement.is_err():
-            return _refused(announcement.unwrap_err())
+            return _refusal_response(announcement.unwrap_err())
         return self._accept(announcement.unwrap())
 
     def _accept(self, announcement: Announcement) -> web.Response:
         change = self._targets.apply(announcement, self._clock.now())
         if change is Change.FULL:
-            return _refused(_FULL)
-        # A stale message is answered as accepted: the target has done nothing wrong when
-        # the network delivered its messages out of order.
+            return _refusal_response(_FULL)
+        # A stale message is answered as accepted: it is not the target's fault if the network
+        # delivers its messages out of order.
         if change is not Change.STALE:
             self._publish(announcement)
         return _json(200, AnnounceReply(ttl_s=TTL_S))
@@ -70,10 +70,10 @@
     "body",
     "send fewer cache events in one announcement",
 )
-_FULL = Refusal(ErrorKind.OVERLOADED, "this host knows as many targets as it can keep")
+_FULL = Refusal(ErrorKind.OVERLOADED, "this host has the maximum number of targets")
 
 
-def _refused(refusal: Refusal) -> web.Response:
+def _refusal_response(refusal: Refusal) -> web.Response:
     answer = answer_for(refusal)
     error = {
         "code": refusal.kind,
--- a/cranberrywall/targets/_prefixes.py
+++ b/cranberrywall/targets/_prefixes.py
@@ -1,8 +1,8 @@
-"""Guess which prompt prefixes each target has in its cache.
+"""Index of the prompt prefixes that each target probably has in its cache.
 
-Engines publish what they cache late and with gaps, so the index is never exact. It is fed
-by their events and by this host's own routing, and corrects itself: what a target dropped
-tells how long it keeps an unused block, and older guesses are believed no more.
+Engines publish the contents of their caches with delay and gaps, so the index is never exact. It is
+updated by their events and by this host's own routing. It corrects itself: events about dropped
+blocks give an estimate of how long a target keeps an unused block, and older entries are ignored.
 """
 
 from collections.abc import Sequence
@@ -11,43 +11,44 @@
 from cranberrywall.targets.messages import CacheEvent, CacheOp
 
 MAX_ENTRIES = 40_000
-"""Pairs of block and target that are kept for one model at most."""
+"""Maximum number of pairs of block and target for one model."""
 
 MAX_HOLDERS_FOUND = 4
-"""A lookup ends when it knows this many targets that hold part of the prompt."""
+"""A lookup stops once it has found this number of targets that hold part of the prompt."""
 
 STRIDE = 4
-"""Blocks by which a lookup goes on after the longest match."""
+"""Step of a lookup, in blocks, after the longest match is found."""
 
-KEPT_S = 600.0
-"""A target is taken to keep an unused block this long until its events tell, in seconds."""
+DEFAULT_RETENTION_S = 600.0
+"""Assumed time for which a target keeps an unused block until its events show another, in
+seconds."""
 
-LEARNING = 0.02
-"""Weight of each drop event in the estimate of how long a target keeps a block."""
+RETENTION_SMOOTHING = 0.02
+"""Exponential smoothing factor of the estimated retention: the weight of each drop event."""
 
-DROPPED_WITHIN = 0.9
-"""The estimate is the time within which this share of unused blocks is dropped: other
-hosts use blocks too, so that many stay longer than this host's own use tells."""
+DROPPED_SHARE = 0.9
+"""The estimate is the time within which this share of unused blocks is dropped. It is a high share
+because other hosts use blocks too, so many blocks stay longer than this host's own use suggests."""
 
-REPORT_EVERY_S = 2.0
-"""A drop may have waited this long at the target for the next report, in seconds."""
+REPORT_INTERVAL_S = 2.0
+"""Maximum time that a drop event waits at the target for the next report, in seconds."""
 
 
 class _Holder:
-    """Hold what the events of one run of a target told."""
+    """Cache state of one incarnation of a target, as derived from its events."""
 
     def __init__(self, target_id: str, incarnation: int) -> None:
         self.target_id = target_id
         self.incarnation = incarnation
-        self.newest_seq = -1
-        self.kept_s = KEPT_S
+        self.last_seq = -1
+        self.retention_s = DEFAULT_RETENTION_S
 
 
 class PrefixIndex:
-    """Map each block to the targets that probably cache it, in bounded memory.
+    """Map from each block to the targets that probably cache it, in bounded memory.
 
-    Blocks are in two generations: a full young one becomes the old one, whose blocks are
-    forgotten unless they were used again meanwhile.
+    Blocks are in two generations. When the young generation is full, it becomes the old one; blocks
+    of the previous old generation that were not used in the meantime are evicted.
     """
 
     def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
@@ -60,7 +61,7 @@
         self._holder_by_number: dict[int, _Holder] = {}
 
     def use(self, target_id: str, prefix: Sequence[bytes], now: float) -> None:
-        """Note that a prompt was sent to a target, which will cache it."""
+        """Record that a prompt is sent to a target, which will cache it."""
         number = self._number_by_target.get(target_id)
         if number is None:
             return
@@ -68,19 +69,19 @@
             self._add(block, number, now)
 
     def put(self, target_id: str, incarnation: int) -> None:
-        """Know a target; a new incarnation starts with an empty cache."""
+        """Add a target; a new incarnation starts with an empty cache."""
         number = self._number_by_target.get(target_id)
         if number is not None and self._holder_by_number[number].incarnation == incarnation:
             return
-        # Entries of the earlier run stay until they age out; its number is not given again,
-        # so they are believed no more.
+        # Entries of the previous incarnation stay until they age out. Its number is never reused,
+        # so lookups ignore these entries.
         self.remove(target_id)
         number = next(self._numbers)
         self._number_by_target[target_id] = number
         self._holder_by_number[number] = _Holder(target_id, incarnation)
 
     def remove(self, target_id: str) -> None:
-        """Forget a target."""
+        """Remove a target."""
         number = self._number_by_target.pop(target_id, None)
         if number is not None:
             del self._holder_by_number[number]
@@ -88,46 +89,46 @@
     def apply(
         self, target_id: str, events: Sequence[CacheEvent], late_s: float, now: float
     ) -> None:
-        """Take in a target's events, sent ``late_s`` seconds ago.
+        """Apply a target's events, which were sent ``late_s`` seconds ago.
 
-        Those that are older than the newest known are left out.
+        Events that are older than the latest one applied are skipped.
         """
-        dropped_by = now - late_s - REPORT_EVERY_S
+        dropped_before = now - late_s - REPORT_INTERVAL_S
         number = self._number_by_target.get(target_id)
         if number is None:
             return
         holder = self._holder_by_number[number]
         for event in events:
-            if event.seq <= holder.newest_seq:
+            if event.seq <= holder.last_seq:
                 continue
-            holder.newest_seq = event.seq
+            holder.last_seq = event.seq
             if event.op == CacheOp.ADD:
                 self._add(event.prefix, number, now)
             else:
-                self._drop(event.prefix, number, holder, dropped_by)
+                self._drop(event.prefix, number, holder, dropped_before)
 
     def matches(self, prefix: Sequence[bytes], now: float) -> dict[str, int]:
-        """Return how many leading blocks some targets probably have, the longest first."""
+        """Return the number of leading blocks that some targets probably have, longest first."""
         found: dict[str, int] = {}
         position = len(prefix) - 1
         while position >= 0:
             block = prefix[position]
             holders = self._young.get(block) or self._old.get(block)
             if holders:
-                self._note_holders(holders, position + 1, found, now)
+                self._record_matches(holders, position + 1, found, now)
                 if len(found) >= MAX_HOLDERS_FOUND:
                     break
-            # Behind the longest match only shorter ones of other targets are missing, and
-            # those need not be exact.
+            # Past the longest match, only shorter matches of other targets are missing, and those
+            # need not be exact.
             position -= STRIDE if found else 1
         return found
 
-    def _note_holders(
+    def _record_matches(
         self, holders: dict[int, float], length: int, found: dict[str, int], now: float
     ) -> None:
         for number, used_at in holders.items():
             holder = self._holder_by_number.get(number)
-            if holder is None or now - used_at > holder.kept_s:
+            if holder is None or now - used_at > holder.retention_s:
                 continue
             found.setdefault(holder.target_id, length)
 
@@ -145,22 +146,22 @@
             self._young = {}
             self._young_size = 0
 
-    def _drop(self, block: bytes, number: int, holder: _Holder, dropped_by: float) -> None:
+    def _drop(self, block: bytes, number: int, holder: _Holder, dropped_before: float) -> None:
         holders = self._young.get(block) or self._old.get(block)
         if not holders or number not in holders:
             return
-        # The event is late: when this host sent the same prompt there since, the target
-        # has cached it again, and the event tells of the time before.
-        unused_s = dropped_by - holders[number]
+        # The event is delayed: if this host has sent the same prompt to the target since, the
+        # target has cached it again, and the event refers to the time before.
+        unused_s = dropped_before - holders[number]
         if unused_s < 0:
             return
-        self._forget(block, number, holders)
-        if unused_s > holder.kept_s:
-            holder.kept_s *= 1.0 + LEARNING * DROPPED_WITHIN
+        self._evict(block, number, holders)
+        if unused_s > holder.retention_s:
+            holder.retention_s *= 1.0 + RETENTION_SMOOTHING * DROPPED_SHARE
         else:
-            holder.kept_s *= 1.0 - LEARNING * (1.0 - DROPPED_WITHIN)
+            holder.retention_s *= 1.0 - RETENTION_SMOOTHING * (1.0 - DROPPED_SHARE)
 
-    def _forget(self, block: bytes, number: int, holders: dict[int, float]) -> None:
+    def _evict(self, block: bytes, number: int, holders: dict[int, float]) -> None:
         generation = self._young if block in self._young else self._old
         if generation is self._young:
             self._young_size -= 1
--- a/cranberrywall/targets/_relay.py
+++ b/cranberrywall/targets/_relay.py
@@ -1,6 +1,6 @@
-"""Take targets' announcements in at control hosts, and pass them on to the entry hosts.
+"""Relay of targets' announcements, from control hosts to the entry hosts.
 
-Where targets cannot reach entry hosts, they announce themselves to control.
+Targets that cannot reach entry hosts announce themselves to control hosts.
 """
 
 import asyncio
@@ -13,7 +13,11 @@
 from cranberrywall.links import Caller, Method, Peer, Server
 from cranberrywall.observability import Metrics, log_event
 from cranberrywall.runtime import Clock
-from cranberrywall.targets._leaving_updates import LEAVING_KEPT_S, HostIncarnation, LeavingUpdates
+from cranberrywall.targets._leaving_updates import (
+    LEAVING_RETENTION_S,
+    HostIncarnation,
+    LeavingUpdates,
+)
 from cranberrywall.targets._targets import Change, Targets, group_of
 from cranberrywall.targets.messages import (
     LEAVING,
@@ -27,30 +31,33 @@
 )
 
 PASS_ON_TIMEOUT_S = 0.4
-"""An entry host has this long to take a change in, in seconds: targets wait a second."""
+"""Time that an entry host has to apply a change, in seconds: targets wait one second for an
+answer."""
 
-ASK_TIMEOUT_S = 0.3
-"""A control host has this long to say which targets leave, in seconds: requests wait for it."""
+FETCH_TIMEOUT_S = 0.3
+"""Time that a control host has to return the leaving targets, in seconds: requests wait for it."""
 
-MOST_TOLD = 12
-"""Entry hosts that are told of a change directly; they push it on to all others."""
+MAX_DIRECT_NOTIFICATIONS = 12
+"""Number of entry hosts that are notified of a change directly; they forward it to all others."""
 
-HOLDERS = 2
-"""Other control hosts that must hold it before it is acknowledged that a target leaves.
+MIN_CONTROL_CONFIRMATIONS = 2
+"""Number of other control hosts that must confirm a leaving target before its acknowledgement.
 
-With this one, more than may be lost at once; each goes on to tell the entry hosts."""
+Together with this host, they are more hosts than may be lost at the same time. Each of them
+notifies the entry hosts.
+"""
 
-LEAST_TOLD = 3
-"""Entry hosts that must know it where too few control hosts can be reached, to hold it for them."""
+MIN_ENTRY_CONFIRMATIONS = 3
+"""Number of entry hosts that must confirm it if too few control hosts can be reached."""
 
 
-def _misfit(message: str) -> Refusal:
+def _mismatch_refusal(message: str) -> Refusal:
     remedy = "announce a service of the configuration, with all fields of its kind"
     return Refusal(ErrorKind.BAD_REQUEST, message, "service", remedy)
 
 
 def register_relay(server: Server, publish: Callable[[Announcement], None]) -> None:
-    """Take in at an entry host what control hosts pass on."""
+    """Register the handler by which an entry host receives announcements from control hosts."""
 
     async def answer(request: PassOnRequest, peer: Peer) -> Result[PassOnReply, Refusal]:
         for announcement in request.announcements:
@@ -63,8 +70,10 @@
 async def fetch_leaving_targets(
     controls: Sequence[str], caller: Caller, publish: Callable[[Announcement], None]
 ) -> None:
-    """Ask control hosts which targets leave, all at once, and take in the first answer."""
-    calls = [caller.call(links, LEAVING, LeavingRequest(), ASK_TIMEOUT_S) for links in controls]
+    """Request the leaving targets from all control hosts and apply the first answer."""
+    calls = [
+        caller.call(address, LEAVING, LeavingRequest(), FETCH_TIMEOUT_S) for address in controls
+    ]
     for call in asyncio.as_completed(calls):
         answer = await call
         if isinstance(answer, Ok):
@@ -74,14 +83,14 @@
 
 
 KindByName = Callable[[], Mapping[str, str] | None]
-"""Return the kind of each model's or service's targets; ``None`` before any configuration."""
+"""Return the kind of each model's or service's targets; ``None`` before the first configuration."""
 
 
-class _Holders(NamedTuple):
-    """Count who holds that a target leaves.
+class _Confirmations(NamedTuple):
+    """Number of hosts that confirmed that they have the announcement of a leaving target.
 
-    ``needed`` control hosts besides this one are asked for. ``is_over`` says that all that were
-    asked have answered or failed.
+    ``needed`` is the required number of control hosts besides this one, ``asked`` the number of
+    entry hosts that were called. ``is_over`` is true once all calls have succeeded or failed.
     """
 
     controls: int
@@ -92,14 +101,14 @@
 
     @property
     def are_enough(self) -> bool:
-        """Say whether it may be acknowledged."""
+        """Return whether the target may get its acknowledgement."""
         if self.entries and self.controls >= self.needed:
             return True
-        return self.is_over and 0 < min(LEAST_TOLD, self.asked) <= self.entries
+        return self.is_over and 0 < min(MIN_ENTRY_CONFIRMATIONS, self.asked) <= self.entries
 
 
 class TargetRelay:
-    """Hold what targets announced to this control host, and tell the entry hosts."""
+    """Store announcements that this control host received, and notify the entry hosts of them."""
 
     def __init__(
         self,
@@ -108,115 +117,119 @@
         clock: Clock,
         kind_by_name: KindByName = lambda: None,
         others: Callable[[], Sequence[HostIncarnation]] = lambda: (),
-        tells: Callable[[str], bool] = lambda links: True,
+        is_assigned: Callable[[str], bool] = lambda address: True,
     ) -> None:
-        """``entries`` gives the entry hosts known, ``others`` the other control hosts.
+        """``entries`` returns the current entry hosts, ``others`` the other current control hosts.
 
-        Those entry hosts fall to this one for whose address ``tells`` says so.
+        ``is_assigned`` returns whether this host is responsible for the entry host at an address.
         """
         self._kind_by_name = kind_by_name
         self._targets = Targets()
         self._entries = entries
         self._others = others
-        self._tells = tells
+        self._is_assigned = is_assigned
         self._caller = caller
         self._clock = clock
-        self._turn = 0
+        self._rotation = 0
         self._acknowledged: dict[TargetIncarnation, float] = {}
-        # All that is known here goes to the entry hosts that fall to this one; what targets said
-        # to this one goes to the other control hosts.
-        self._news = LeavingUpdates(self._entries_of_mine, caller, clock)
-        self._own_news = LeavingUpdates(self._holders_to_be, caller, clock)
+        # All leaving targets that this host has are sent to the entry hosts assigned to it. Those
+        # that announced themselves to this host directly are also sent to the other control hosts.
+        self._updates = LeavingUpdates(self._assigned_entries, caller, clock)
+        self._own_updates = LeavingUpdates(self._control_update_hosts, caller, clock)
         self._tasks: set[asyncio.Task[bool]] = set()
 
     def register(self, server: Server) -> None:
-        """Take in what other control hosts were told by targets that leave, and tell of it."""
-        server.register(SHARE_LEAVING, self._take_share)
-        server.register(LEAVING, self._answer_leaving)
+        """Register the handlers by which control hosts exchange the leaving targets."""
+        server.register(SHARE_LEAVING, self._handle_share)
+        server.register(LEAVING, self._handle_leaving_request)
 
     def export(self, metrics: Metrics) -> None:
-        """Let ``metrics`` show how soon entry hosts know which targets leave."""
-        self._news.export(metrics)
+        """Register metrics of the time until entry hosts are notified of leaving targets."""
+        self._updates.export(metrics)
 
     def unnotified(self) -> list[str]:
-        """Return the addresses of the entry hosts that are still to hear that a target leaves."""
-        hosts = {*self._news.unnotified(), *self._own_news.unnotified()}
-        return sorted({run.links for run in hosts if not run.is_control})
+        """Return the addresses of entry hosts that are still being notified of leaving targets."""
+        hosts = {*self._updates.unnotified(), *self._own_updates.unnotified()}
+        return sorted({host.links for host in hosts if not host.is_control})
 
     def check(self, announcement: Announcement) -> Refusal | None:
-        """Return why an announcement names no target to use; ``None`` where it does.
+        """Return why an announcement names no target to use; ``None`` if it names one.
 
-        Others than targets may write announcements, under the id of a target that is well.
-        Taken in, one that names another service would take the target away from its own. What
-        was known of a target before goes on to hold, also where its service was removed since.
+        A process other than the target may send an announcement under the id of a working target.
+        If such an announcement named another service, applying it would remove the target from its
+        own service. A target that was accepted before stays valid, even if its service has been
+        removed from the configuration since.
         """
-        known = self._targets.by_id.get(announcement.target)
-        before = known.announcement if known is not None else None
+        accepted = self._targets.by_id.get(announcement.target)
+        before = accepted.announcement if accepted is not None else None
         if before is not None and group_of(before) == group_of(announcement):
             return None
         kind_by_name = self._kind_by_name()
         if kind_by_name is None:
             return None
         if kind_by_name.get(announcement.name) != announcement.kind:
-            return _misfit(f"no {announcement.kind} {announcement.name!r} is configured")
+            return _mismatch_refusal(f"no {announcement.kind} {announcement.name!r} is configured")
         if before is not None and kind_by_name.get(before.name) == before.kind:
-            return _misfit(f"the target announced {before.name} before")
+            return _mismatch_refusal(f"the target already announced the service {before.name}")
         return None
 
     async def announce(self, announcement: Announcement) -> bool:
-        """Take in an announcement, and return whether it may be acknowledged.
+        """Apply an announcement, and return whether it may be acknowledged.
 
-        That a target leaves is acknowledged only once it is held by more hosts than may be lost
-        at once: the target goes away some time after the acknowledgement, and requests that were
-        still sent to it would be lost. A renewal asks for no such care.
+        A leaving target gets its acknowledgement only once more hosts have the announcement than
+        may be lost at the same time. The target stops some time after the acknowledgement, and
+        requests that are still sent to it then would be lost. A renewal needs no confirmation.
         """
         now = self._clock.now()
         self._targets.expire(now)
         before = self._targets.by_id.get(announcement.target)
         change = self._targets.apply(announcement, now)
         if announcement.leaving and change is not Change.FULL:
-            return await self._take_leaving(announcement, change)
+            return await self._handle_leaving(announcement, change)
         if change is Change.STALE:
             return True
         if change is Change.RENEWED:
-            self._start(self._tell_one(announcement))
+            self._spawn(self._notify_one(announcement))
             return True
-        self._note(announcement, change, before is not None)
-        await self._tell_some(announcement)
+        self._log_announcement(announcement, change, before is not None)
+        await self._notify_some(announcement)
         return True
 
-    async def _take_leaving(self, announcement: Announcement, change: Change) -> bool:
-        # A target that got no acknowledgement says it again, as one that is acknowledged does
-        # with each of its renewals. Neither is news by its order, and only the first is to be told.
-        start = TargetIncarnation(announcement.target, announcement.incarnation)
-        if start in self._acknowledged:
+    async def _handle_leaving(self, announcement: Announcement, change: Change) -> bool:
+        # A target that got no acknowledgement repeats the announcement; one that got it repeats it
+        # with each renewal. By its order, neither is new, and hosts are notified of the first one
+        # only.
+        incarnation = TargetIncarnation(announcement.target, announcement.incarnation)
+        if incarnation in self._acknowledged:
             return True
         if change is not Change.STALE:
-            self._note(announcement, change, was_known=True)
-        began_at = self._clock.now()
-        self._news.add(announcement, began_at)
-        self._own_news.add(announcement, began_at)
-        holders = await self._hand_to_holders(announcement)
+            self._log_announcement(announcement, change, was_known=True)
+        started_at = self._clock.now()
+        self._updates.add(announcement, started_at)
+        self._own_updates.add(announcement, started_at)
+        confirmations = await self._replicate(announcement)
         log_event(
             "INFO",
             "leaving_told",
             target=announcement.target,
             counter=announcement.counter,
-            acknowledged=holders.are_enough,
-            controls=holders.controls,
-            hosts=holders.entries,
-            seconds=self._clock.now() - began_at,
+            acknowledged=confirmations.are_enough,
+            controls=confirmations.controls,
+            hosts=confirmations.entries,
+            seconds=self._clock.now() - started_at,
         )
-        if holders.are_enough:
-            self._acknowledge(start, self._clock.now())
-        return holders.are_enough
+        if confirmations.are_enough:
+            self._acknowledge(incarnation, self._clock.now())
+        return confirmations.are_enough
 
-    def _acknowledge(self, start: TargetIncarnation, now: float) -> None:
-        self._acknowledged[start] = now
-        while next(iter(self._acknowledged.values())) < now - LEAVING_KEPT_S:
+    def _acknowledge(self, incarnation: TargetIncarnation, now: float) -> None:
+        self._acknowledged[incarnation] = now
+        while next(iter(self._acknowledged.values())) < now - LEAVING_RETENTION_S:
             del self._acknowledged[next(iter(self._acknowledged))]
 
-    def _note(self, announcement: Announcement, change: Change, was_known: bool) -> None:
+    def _log_announcement(
+        self, announcement: Announcement, change: Change, was_known: bool
+    ) -> None:
         log_event(
             "INFO",
             "target_announced",
@@ -228,82 +241,92 @@
         )
 
     def find(self, target_id: str) -> Announcement | None:
-        """Return what a target that is not leaving last said."""
+        """Return the last announcement of a target that is not leaving."""
         target = self._targets.by_id.get(target_id)
         return target.announcement if target is not None else None
 
-    async def _take_share(self, request: PassOnRequest, peer: Peer) -> Result[PassOnReply, Refusal]:
+    async def _handle_share(
+        self, request: PassOnRequest, peer: Peer
+    ) -> Result[PassOnReply, Refusal]:
         now = self._clock.now()
         for announcement in request.announcements:
             self._targets.apply(announcement, now)
-            self._news.add(announcement, now)
+            self._updates.add(announcement, now)
         return Ok(PassOnReply())
 
-    async def _answer_leaving(
+    async def _handle_leaving_request(
         self, request: LeavingRequest, peer: Peer
     ) -> Result[PassOnRequest, Refusal]:
-        return Ok(PassOnRequest(self._news.newest()))
+        return Ok(PassOnRequest(self._updates.newest()))
 
-    def _entries_of_mine(self) -> list[HostIncarnation]:
-        return [run for run in self._entries() if self._tells(run.links)]
+    def _assigned_entries(self) -> list[HostIncarnation]:
+        return [host for host in self._entries() if self._is_assigned(host.links)]
 
-    def _holders_to_be(self) -> list[HostIncarnation]:
-        """Return the other control hosts, and all entry hosts while one of these is not told.
+    def _control_update_hosts(self) -> list[HostIncarnation]:
+        """Return the other control hosts, plus all entry hosts while a control host is missing.
 
-        The control hosts that would tell an entry host may all be cut off from this one, and not
-        from the entry host.
+        The control hosts that would notify an entry host may all be partitioned from this one, but
+        not from that entry host.
         """
         controls = list(self._others())
-        if any(run.is_control for run in self._own_news.unnotified()):
+        if any(host.is_control for host in self._own_updates.unnotified()):
             return [*controls, *self._entries()]
         return controls
 
-    async def _hand_to_holders(self, announcement: Announcement) -> _Holders:
-        """Let other control hosts hold it, and some entry hosts; return once enough do."""
+    async def _replicate(self, announcement: Announcement) -> _Confirmations:
+        """Send the announcement to control and entry hosts, and wait until enough confirmed it."""
         request = PassOnRequest((announcement,))
         others = self._others()
-        shares = {self._start(self._call(one.links, SHARE_LEAVING, request)) for one in others}
-        tellings = {self._start(self._call(links, PASS_ON, request)) for links in self._some()}
-        holders = _Holders(0, 0, min(HOLDERS, len(others)), len(tellings), False)
-        left = shares | tellings
-        while left and not holders.are_enough:
-            done, left = await asyncio.wait(left, return_when=asyncio.FIRST_COMPLETED)
-            holders = holders._replace(
-                controls=_count(shares), entries=_count(tellings), is_over=not left
+        control_tasks = {
+            self._spawn(self._send(other.links, SHARE_LEAVING, request)) for other in others
+        }
+        entry_tasks = {
+            self._spawn(self._send(address, PASS_ON, request)) for address in self._next_entries()
+        }
+        confirmations = _Confirmations(
+            0, 0, min(MIN_CONTROL_CONFIRMATIONS, len(others)), len(entry_tasks), False
+        )
+        pending = control_tasks | entry_tasks
+        while pending and not confirmations.are_enough:
+            finished, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+            confirmations = confirmations._replace(
+                controls=_count(control_tasks), entries=_count(entry_tasks), is_over=not pending
             )
-        return holders
+        return confirmations
 
-    async def _tell_one(self, announcement: Announcement) -> bool:
+    async def _notify_one(self, announcement: Announcement) -> bool:
         entries = self._entries()
         if not entries:
             return False
-        self._turn += 1
-        links = entries[self._turn % len(entries)].links
-        return await self._call(links, PASS_ON, PassOnRequest((announcement,)))
+        self._rotation += 1
+        address = entries[self._rotation % len(entries)].links
+        return await self._send(address, PASS_ON, PassOnRequest((announcement,)))
 
-    async def _tell_some(self, announcement: Announcement) -> bool:
-        """Tell some entry hosts, and return once one has it, or none answers."""
+    async def _notify_some(self, announcement: Announcement) -> bool:
+        """Notify some entry hosts, and return once one has confirmed it, or all have failed."""
         request = PassOnRequest((announcement,))
-        left = {self._start(self._call(links, PASS_ON, request)) for links in self._some()}
-        while left:
-            done, left = await asyncio.wait(left, return_when=asyncio.FIRST_COMPLETED)
-            if any(task.result() for task in done):
+        pending = {
+            self._spawn(self._send(address, PASS_ON, request)) for address in self._next_entries()
+        }
+        while pending:
+            finished, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+            if any(task.result() for task in finished):
                 return True
         return False
 
-    def _some(self) -> list[str]:
-        entries = [run.links for run in self._entries()]
-        self._turn += 1
-        start = self._turn % len(entries) if entries else 0
-        return [*entries[start:], *entries[:start]][:MOST_TOLD]
+    def _next_entries(self) -> list[str]:
+        entries = [host.links for host in self._entries()]
+        self._rotation += 1
+        first = self._rotation % len(entries) if entries else 0
+        return [*entries[first:], *entries[:first]][:MAX_DIRECT_NOTIFICATIONS]
 
-    async def _call(
-        self, links: str, method: Method[PassOnRequest, PassOnReply], request: PassOnRequest
+    async def _send(
+        self, address: str, method: Method[PassOnRequest, PassOnReply], request: PassOnRequest
     ) -> bool:
-        answer = await self._caller.call(links, method, request, PASS_ON_TIMEOUT_S)
+        answer = await self._caller.call(address, method, request, PASS_ON_TIMEOUT_S)
         return isinstance(answer, Ok)
 
-    def _start(self, work: Coroutine[Any, Any, bool]) -> asyncio.Task[bool]:
+    def _spawn(self, work: Coroutine[Any, Any, bool]) -> asyncio.Task[bool]:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/cranberrywall/targets/checks.py
+++ b/cranberrywall/targets/checks.py
@@ -1,4 +1,4 @@
-"""Check what targets send."""
+"""Validation of announcements that targets send."""
 
 import re
 
@@ -15,7 +15,7 @@
 
 
 def read_announcement(body: bytes) -> Result[Announcement, Refusal]:
-    """Return the announcement in a JSON body, or a refusal that names the field at fault.
+    """Return the announcement in a JSON body, or a refusal that names the invalid field.
 
     >>> read_announcement(b'{"target": 5}').unwrap_err().field
     'target'
@@ -34,18 +34,20 @@
     models = fields.get("models")
     if fields["kind"] == "service" and (models is not None or "slots" in fields):
         field = "models" if models is not None else "slots"
-        return _bad(field, "a service loads no models", "leave out models and slots")
+        return _bad_request(field, "a service has no models", "leave out models and slots")
     if models is not None and fields["name"] not in models:
         remedy = f"list {fields['name']} too, or leave out models if it loads no other"
-        return _bad("models", "the model that the engine announces is not among them", remedy)
+        return _bad_request(
+            "models", "models must contain the model that the engine announces", remedy
+        )
     versions = len(fields.get("versions", []))
     if fields.get("slots", versions) < versions:
         remedy = f"send at least {versions}, or leave out slots"
-        return _bad("slots", f"the engine announces {versions} versions", remedy)
+        return _bad_request("slots", f"the engine announces {versions} versions", remedy)
     return None
 
 
-def _bad(field: str, message: str, remedy: str) -> Refusal:
+def _bad_request(field: str, message: str, remedy: str) -> Refusal:
     return Refusal(ErrorKind.BAD_REQUEST, message, field, remedy)
 
 
--- a/cranberrywall/targets/messages.py
+++ b/cranberrywall/targets/messages.py
@@ -1,4 +1,4 @@
-"""Define what a target says about itself, over HTTP and from host to host."""
+"""Messages by which targets announce themselves over HTTP, and hosts relay announcements."""
 
 from enum import StrEnum
 from typing import Annotated, Literal, NamedTuple, NotRequired, TypedDict
@@ -16,7 +16,7 @@
 
 
 class LoadBody(TypedDict):
-    """Report work at a target at wall second ``at``, by the target's own clock."""
+    """Requests at a target at wall clock time ``at`` in seconds, by the target's own clock."""
 
     running: Count
     waiting: Count
@@ -24,7 +24,7 @@
 
 
 class CacheEventBody(TypedDict):
-    """Report that a prefix came into the target's cache or left it."""
+    """Addition of a prefix to the target's cache, or its removal."""
 
     seq: Counter
     op: Literal["add", "drop"]
@@ -32,7 +32,7 @@
 
 
 class AnnounceBody(TypedDict):
-    """Hold the JSON body of an announcement, as documented in design page 0001."""
+    """JSON body of an announcement, as documented in design page 0001."""
 
     target: Name
     incarnation: Counter
@@ -53,13 +53,13 @@
 
 
 class AnnounceReply(TypedDict):
-    """Answer an announcement: it holds for ``ttl_s`` seconds unless renewed."""
+    """Answer to an announcement, which is valid for ``ttl_s`` seconds unless renewed."""
 
     ttl_s: float
 
 
 class Load(NamedTuple):
-    """Report requests that run and that wait at a target, at wall second ``at``."""
+    """Running and waiting requests at a target at wall clock time ``at``, in seconds."""
 
     running: int
     waiting: int
@@ -67,14 +67,14 @@
 
 
 class CacheOp(StrEnum):
-    """Say what happened to a prefix in a target's cache."""
+    """Change of a prefix in a target's cache."""
 
     ADD = "add"
     DROP = "drop"
 
 
 class CacheEvent(NamedTuple):
-    """Report one change of a target's prefix cache; ``prefix`` is 8 bytes of hash."""
+    """One change of a target's prefix cache; ``prefix`` is 8 bytes of hash."""
 
     seq: int
     op: str
@@ -82,12 +82,12 @@
 
 
 class Announcement(NamedTuple):
-    """Describe a target as of its own ``incarnation`` and ``counter``.
+    """State of a target as of its own ``incarnation`` and ``counter``.
 
-    ``capacity`` is the number of requests that it can run side by side. ``models`` are those
-    that an engine can be ordered to load, one at a time; empty where it can load its
-    ``name`` only. With ``models`` and no ``versions`` it serves nothing until the next load.
-    ``slots`` is how many versions it can hold at once; 0 where it does not say.
+    ``capacity`` is the number of requests that it can run concurrently. ``models`` are those that
+    an engine can be ordered to load, one at a time; empty if it can load its ``name`` only. An
+    engine with ``models`` and no ``versions`` serves nothing until the next load. ``slots`` is the
+    number of versions that it can hold at the same time; 0 if the announcement has no such field.
     """
 
     target: str
@@ -109,24 +109,24 @@
 
 
 class TargetIncarnation(NamedTuple):
-    """Name one start of a target: another start under the same name has another incarnation."""
+    """Name and incarnation of a target: each start of the target has a new incarnation."""
 
     target: str
     incarnation: int
 
 
 class PassOnRequest(NamedTuple):
-    """Carry what targets said to a control host, each at first hand."""
+    """Announcements that a control host received from targets directly."""
 
     announcements: tuple[Announcement, ...]
 
 
 class PassOnReply(NamedTuple):
-    """Say that the announcements hold at the host called now."""
+    """Confirmation that the called host has applied the announcements."""
 
 
 class LeavingRequest(NamedTuple):
-    """Ask a control host for what it holds of targets that leave."""
+    """Request to a control host for the announcements of leaving targets."""
 
 
 PASS_ON = Method("targets.pass_on", PassOnRequest, PassOnReply)
--- a/tests/quarantine/fleet.py
+++ b/tests/quarantine/fleet.py
@@ -1,4 +1,4 @@
-"""Put the quarantines of some hosts before targets that end when a test says so."""
+"""Fleet of quarantines in virtual time, with targets that end if a test says so."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -16,16 +16,16 @@
 from tests.fakes.spread import MemorySpread
 from tests.quarantine.scene import ScriptedNetwork, announcement
 
-SOON_S = 0.3
-"""Hosts have told each other, and weighed what they heard, after so long."""
+EVALUATION_S = 0.3
+"""Time in which hosts exchange their reports and evaluate them, in seconds."""
 
 
-def named(name: str) -> Fingerprint:
+def fingerprint_for(name: str) -> Fingerprint:
     return fingerprint_of("desk", f"/letters/{name}", b"")
 
 
 class Host:
-    """Hold one host's quarantine; ``stopped`` names the runs that it ended early."""
+    """One host's quarantine; ``stopped`` lists the runs that it stopped early."""
 
     def __init__(self, name: str, fleet: "Fleet") -> None:
         self.name = name
@@ -33,49 +33,49 @@
         self.targets: Targets = make_targets()
         self.gossip = MemorySpread()
         self.stopped: list[str] = []
-        network: Any = fleet.network  # of a network, only dialling is there
+        network: Any = fleet.network  # only ``dial`` is called
         tracker = RunTracker(self.targets, network, fleet.clock)
         self.quarantine = Quarantine(name, tracker, self.gossip, fleet.clock)
         for port in fleet.ports:
             self.targets.apply(announcement(f"t{port}", port), fleet.clock.now())
 
     def send(self, request: str, target: int, answered: bool = True) -> Run:
-        """Send a request to a target, which begins to answer at once unless told otherwise."""
-        run = self.quarantine.tracker.begin(request, f"t{target}", named(request), True)
+        """Send a request to a target, which starts to answer immediately if ``answered``."""
+        run = self.quarantine.tracker.begin(request, f"t{target}", fingerprint_for(request), True)
         if answered:
             run.answered_at = self.fleet.clock.now()
         run.on_stop = lambda: self.stopped.append(request)
         return run
 
     def finish(self, run: Run, end: RunEnd) -> None:
-        port = int(run.start.target.removeprefix("t"))
+        port = int(run.target_incarnation.target.removeprefix("t"))
         now = self.fleet.clock.now()
         self.quarantine.tracker.finish(run, end, f"http://10.0.0.1:{port}", now)
 
     def refuses(self, request: str) -> bool:
-        return self.quarantine.check(named(request), self.fleet.clock.now()) is not None
+        return self.quarantine.check(fingerprint_for(request), self.fleet.clock.now()) is not None
 
 
 class Fleet:
-    """Hold hosts that tell each other everything, and forty targets."""
+    """Hosts that receive each other's items, and forty targets."""
 
     def __init__(self, hosts: int) -> None:
         self.clock = VirtualClock()
         self.network = ScriptedNetwork()
         self.ports = range(1, 41)
         self.hosts = [Host(f"entry-{number}", self) for number in range(hosts)]
-        self.tie()
+        self.connect()
         self._next = 0
 
-    def tie(self) -> None:
+    def connect(self) -> None:
         for host in self.hosts:
             host.gossip.join([other.gossip for other in self.hosts])
 
     def add(self) -> Host:
-        """Start one more host, which learns what the others have."""
+        """Start one more host, which receives the items of the others."""
         host = Host(f"entry-{len(self.hosts)}", self)
         self.hosts.append(host)
-        self.tie()
+        self.connect()
         return host
 
     def next_target(self) -> int:
@@ -83,24 +83,26 @@
         return self._next
 
     async def end(self, *runs: tuple[Host, Run]) -> None:
-        """End one target under all these runs, and wait until all hosts know."""
-        self.network.refuses.add(f"10.0.0.1:{runs[0][1].start.target.removeprefix('t')}")
+        """End one target with all these runs, and wait until all hosts have the reports."""
+        self.network.refuses.add(
+            f"10.0.0.1:{runs[0][1].target_incarnation.target.removeprefix('t')}"
+        )
         for host, run in runs:
             host.finish(run, RunEnd.BROKEN)
-        await self.clock.sleep(SOON_S)
+        await self.clock.sleep(EVALUATION_S)
 
     async def end_under(self, host: Host, *requests: str, age_s: float = 0.05) -> None:
-        """Let a fresh target end under these requests, sent by one host."""
+        """Let a new target end while it runs these requests of one host."""
         target = self.next_target()
         runs = [(host, host.send(request, target)) for request in requests]
         await self.clock.sleep(age_s)
         await self.end(*runs)
 
 
-def in_fleet(story: Callable[[Fleet], Awaitable[None]], hosts: int = 3) -> None:
+def run_fleet(scenario: Callable[[Fleet], Awaitable[None]], hosts: int = 3) -> None:
     async def main() -> None:
         fleet = Fleet(hosts)
-        await story(fleet)
+        await scenario(fleet)
         for host in fleet.hosts:
             host.quarantine.close()
 
--- a/tests/quarantine/scene.py
+++ b/tests/quarantine/scene.py
@@ -1,4 +1,4 @@
-"""Watch runs at targets whose addresses do as they are told, in virtual time."""
+"""One host's run tracker in virtual time, with addresses that a test controls."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,24 +11,24 @@
 
 
 class ScriptedNetwork:
-    """Take connections, refuse them or stay silent, by address."""
+    """Network that accepts connections, refuses them or does not respond, by address."""
 
     def __init__(self) -> None:
         self.refuses: set[str] = set()
-        self.silent: set[str] = set()
+        self.unresponsive: set[str] = set()
         self.dialled: list[str] = []
 
     async def dial(self, address: str, timeout: float) -> Any:
         self.dialled.append(address)
         if address in self.refuses:
             raise ConnectionRefusedError(111, "refused")
-        if address in self.silent:
+        if address in self.unresponsive:
             await asyncio.sleep(timeout)
             raise TimeoutError
-        return object(), _Writer()
+        return object(), _FakeWriter()
 
 
-class _Writer:
+class _FakeWriter:
     def close(self) -> None:
         pass
 
@@ -41,18 +41,18 @@
 
 
 class Scene:
-    """Hold one host's watch, and what it reported."""
+    """One host's run tracker, and the ends of targets that it reported."""
 
     def __init__(self) -> None:
         self.clock = VirtualClock()
         self.network = ScriptedNetwork()
         self.targets = make_targets()
-        network: Any = self.network  # of a network, only dialling is there
+        network: Any = self.network  # only ``dial`` is called
         self.tracker = RunTracker(self.targets, network, self.clock)
         self.ended: list[tuple[Ending, list[str]]] = []
-        self.tracker.on_ended = self._note
+        self.tracker.on_ended = self._record_ending
 
-    def _note(self, ending: Ending, runs: Any, now: float) -> None:
+    def _record_ending(self, ending: Ending, runs: Any, now: float) -> None:
         self.ended.append((ending, sorted(run.request_id for run in runs)))
 
     def announce(self, target: str, port: int, incarnation: int = 1, **fields: Any) -> None:
@@ -65,11 +65,11 @@
         self.tracker.finish(run, end, f"http://10.0.0.1:{port}", self.clock.now())
 
 
-def in_scene(story: Callable[[Scene], Awaitable[None]]) -> None:
+def run_scene(scenario: Callable[[Scene], Awaitable[None]]) -> None:
     async def main() -> None:
         scene = Scene()
         scene.announce("a", 1)
-        await story(scene)
+        await scenario(scene)
         scene.tracker.close()
 
     run_virtual(main())
--- a/tests/targets/announcements.py
+++ b/tests/targets/announcements.py
@@ -1,4 +1,4 @@
-"""Make announcements for tests."""
+"""Announcements for tests."""
 
 from typing import Any
 
--- a/tests/targets/test_http.py
+++ b/tests/targets/test_http.py
@@ -1,4 +1,4 @@
-"""Check the HTTP call by which targets announce themselves."""
+"""Check the HTTP route by which targets announce themselves."""
 
 from typing import Any
 
--- a/tests/targets/test_targets.py
+++ b/tests/targets/test_targets.py
@@ -1,14 +1,14 @@
-"""Check which announcement counts when several arrive out of order."""
+"""Check which announcement counts if several arrive out of order."""
 
 from cranberrywall.targets import TARGET_RETENTION_S, Change, Group, make_targets
 from tests.targets.announcements import announce
 
 
 def test_a_late_message_does_not_revive_a_target_that_left():
-    """Callers get connection errors from an engine that was shut down in good order.
+    """Callers get connection errors from an engine that was shut down cleanly.
 
-    The engine announces (counter 1, then 2) and leaves (3). The network delivers 2 last.
-    Cause: the late message looks like a renewal to a host that has forgotten the leaving.
+    The engine announces itself (counter 1, then 2) and leaves (3). The network delivers 2 last.
+    Cause: the late message looks like a renewal to a host that has discarded the leaving.
     """
     targets = make_targets()
     targets.apply(announce(counter=1), 0.0)
@@ -28,11 +28,11 @@
 
 
 def test_a_restarted_target_with_a_lower_counter_joins_again():
-    """A restarted engine gets no work for minutes, though it announces itself.
+    """A restarted engine gets no requests for minutes, though it announces itself.
 
-    It ran with counter 900, crashed, and starts anew with counter 1 and a higher
-    incarnation; a last message of the old run arrives late. Cause: counters compared
-    without the incarnation.
+    It ran with counter 900, crashed, and restarts with counter 1 and a higher incarnation; a last
+    message of the old incarnation arrives late. Cause: counters were compared without the
+    incarnation.
     """
     targets = make_targets()
     targets.apply(announce(incarnation=7, counter=900), 0.0)
@@ -43,14 +43,14 @@
 
 def test_a_target_that_stops_renewing_expires_and_may_come_back():
     targets = make_targets()
-    heard = []
-    targets.subscribe(lambda announcement, change, now: heard.append(change))
+    changes = []
+    targets.subscribe(lambda announcement, change, now: changes.append(change))
     targets.apply(announce(counter=1), 0.0)
     targets.apply(announce(counter=2), 2.0)
     assert targets.expire(TARGET_RETENTION_S + 1.0) == []
     assert targets.expire(TARGET_RETENTION_S + 2.0) == ["engine-1"]
     assert targets.apply(announce(counter=3), 60.0) is Change.JOINED
-    assert heard == [Change.JOINED, Change.RENEWED, Change.LEFT, Change.JOINED]
+    assert changes == [Change.JOINED, Change.RENEWED, Change.LEFT, Change.JOINED]
     assert set(targets.by_group) == {Group("engine", "asistent")}
 
 
@@ -75,10 +75,11 @@
 
 
 def test_a_target_that_has_anothers_address_takes_its_place():
-    """Letters are turned down for 20 s after an engine was brought back under another name.
+    """Requests are rejected for 20 s after an engine was restarted under another name.
 
-    Requests went on to the old name, at whose address the new engine turns them down as not meant
-    for it. Cause: each name was kept until it had not been heard of for long.
+    They were still sent to the old name, whose address now belongs to the new engine; it rejects
+    them because they are addressed to another target. Cause: each name was kept until its
+    announcement expired.
     """
     targets = make_targets()
     targets.apply(announce("engine-1", url="http://10.0.0.1:80"), 0.0)
@@ -88,7 +89,7 @@
 
 
 def test_a_late_message_of_the_one_before_keeps_an_address_only_until_the_next_renewal():
-    """The message of an engine that ended was held up by a cut, and comes after its successor's."""
+    """A message of an ended engine, delayed by a partition, arrives after its successor's."""
     targets = make_targets()
     targets.apply(announce("engine-1", url="http://10.0.0.1:80", counter=1), 0.0)
     targets.apply(announce("engine-1b", url="http://10.0.0.1:80", counter=1), 3.0)
@@ -97,10 +98,10 @@
     assert list(targets.by_id) == ["engine-1b"]
 
 
-def test_a_target_that_is_forgotten_by_mistake_is_back_with_its_next_renewal():
+def test_a_target_that_is_removed_by_mistake_is_back_with_its_next_renewal():
     targets = make_targets()
-    seen = []
-    targets.subscribe(lambda announcement, change, now: seen.append(change))
+    changes = []
+    targets.subscribe(lambda announcement, change, now: changes.append(change))
     targets.apply(announce("engine-1", counter=1), 0.0)
     targets.discard("engine-1", 1.0)
     targets.discard("engine-1", 1.0)
@@ -108,5 +109,5 @@
     targets.apply(announce("engine-1", counter=1), 1.5)
     assert not targets.by_id
     targets.apply(announce("engine-1", counter=2), 2.0)
-    assert seen == [Change.JOINED, Change.LEFT, Change.JOINED]
+    assert changes == [Change.JOINED, Change.LEFT, Change.JOINED]
     assert list(targets.by_id) == ["engine-1"]
