--- a/cranberrywall/rates/__init__.py
+++ b/cranberrywall/rates/__init__.py
@@ -1,7 +1,7 @@
-"""Keep to the requests a second that targets in need say they take."""
+"""Limit the requests to throttled targets to the requests per second that the targets accept."""
 
-from cranberrywall.rates._known import RateRecord, RateTable
 from cranberrywall.rates._permits import Permits
+from cranberrywall.rates._rate_table import RateRecord, RateTable
 from cranberrywall.rates._rates import TargetRates, make_rates, make_standalone_rates
 from cranberrywall.rates._reading import NO_RATE, RateNotice, read_rate
 from cranberrywall.rates.messages import (
--- a/cranberrywall/rates/_ranking.py
+++ b/cranberrywall/rates/_ranking.py
@@ -1,4 +1,4 @@
-"""Choose the host that gives a group's permits, the same one on all hosts."""
+"""Choose the host that issues the permits of a group; all hosts choose the same one."""
 
 from collections.abc import Iterable
 
@@ -8,10 +8,11 @@
 from cranberrywall.targets import Group
 
 
-def first_host(group: Group, hosts: Iterable[HostView]) -> HostView | None:
+def coordinator_of(group: Group, hosts: Iterable[HostView]) -> HostView | None:
     """Return the host that ranks first by a hash of group and host (rendezvous hashing).
 
-    Groups are spread over the hosts, and where a host comes or goes only its own groups move.
+    The groups are distributed over the hosts. When a host joins or leaves, only its own groups
+    move.
     """
     return max(hosts, key=lambda view: _rank(group, view.host), default=None)
 
--- a/cranberrywall/rates/_rates.py
+++ b/cranberrywall/rates/_rates.py
@@ -1,4 +1,4 @@
-"""Hold what one entry host knows of targets' rates, and its part in keeping them."""
+"""Rate limits of targets on one entry host, and the host's part in enforcing them."""
 
 from collections import Counter
 from collections.abc import Callable, Sequence
@@ -7,81 +7,85 @@
 from cranberrywall.hosts import Gossip, HostView, Item, LiveMembership
 from cranberrywall.links import Caller, Server
 from cranberrywall.observability import Metrics
-from cranberrywall.rates._known import RateTable
 from cranberrywall.rates._permits import Permits
+from cranberrywall.rates._rate_table import RateTable
 from cranberrywall.runtime import Clock, Random
 from cranberrywall.targets import TargetIncarnation, Targets
 
 
 class TargetRates:
-    """Know the rates and ask for permits; one for each entry host."""
+    """Rates and permits of one entry host."""
 
-    def __init__(self, known: RateTable, permits: Permits) -> None:
-        self.known = known
+    def __init__(self, table: RateTable, permits: Permits) -> None:
+        self.table = table
         self.permits = permits
         self.sent_by_target: Counter[str] = Counter()
         self.refused_by_name: Counter[str] = Counter()
-        known.subscribe(self._forget_counts)
+        table.subscribe(self._remove_counts)
 
     def expire(self, now: float) -> None:
-        """Forget what is over; call it once a second."""
-        self.known.expire(now)
+        """Remove outdated state; call it once a second."""
+        self.table.expire(now)
         self.permits.expire(now)
 
     def close(self) -> None:
-        """Give no more permits."""
+        """Stop issuing permits."""
         self.permits.close()
 
-    def describe(self, start: TargetIncarnation, now: float) -> dict[str, Any] | None:
-        """Return what operators see of a target's rate; ``None`` where it names none."""
-        if start not in self.known.rate_by_incarnation:
+    def describe(self, incarnation: TargetIncarnation, now: float) -> dict[str, Any] | None:
+        """Return what operators see of a target's rate; ``None`` if it is not throttled."""
+        if incarnation not in self.table.rate_by_incarnation:
             return None
-        sent = self.sent_by_target[start.target]
-        return {**self.known.describe(start, now), "sent_from_here": sent}
+        sent = self.sent_by_target[incarnation.target]
+        return {**self.table.describe(incarnation, now), "sent_from_here": sent}
 
     def state(self) -> dict[str, Any]:
         """Return rates and permits for the state dump."""
         return {
             "named": {
-                start.target: per_s for start, per_s in self.known.rate_by_incarnation.items()
+                incarnation.target: per_s
+                for incarnation, per_s in self.table.rate_by_incarnation.items()
             },
             "refused": dict(self.refused_by_name),
-            "unreadable": self.known.unreadable,
-            "changes": self.known.changes,
+            "unreadable": self.table.unreadable,
+            "changes": self.table.changes,
             "permits": self.permits.state(),
         }
 
     def export(self, metrics: Metrics) -> None:
-        """Let ``metrics`` show the rates, and what was sent and refused by them."""
+        """Export the rates, and the requests sent and refused under them, to ``metrics``."""
         metrics.gauges_of(
             "target_rate",
-            "Requests a second that a target in need takes from all hosts together.",
+            "Requests per second that a throttled target accepts from all hosts together.",
             "target",
-            lambda: {start.target: rate for start, rate in self.known.rate_by_incarnation.items()},
+            lambda: {
+                incarnation.target: rate
+                for incarnation, rate in self.table.rate_by_incarnation.items()
+            },
         )
         metrics.counters_of(
             "target_rate_sent",
-            "Requests that this host sent to a target in need, by a permit each.",
+            "Requests that this host sent to a throttled target, each with a permit.",
             "target",
             lambda: dict(self.sent_by_target),
         )
         metrics.counters_of(
             "target_rate_refused",
-            "Requests refused as all targets of a model or service are in need.",
+            "Requests refused because all targets of a model or service are throttled.",
             "name",
             lambda: dict(self.refused_by_name),
         )
         metrics.counters_of(
             "target_rate_permits",
-            "Requests for permits that this host made or declined.",
+            "Requests for permits that this host sent or declined.",
             "event",
             lambda: dict(self.permits.counts),
         )
 
-    def _forget_counts(self, start: TargetIncarnation) -> None:
-        # Counters of targets that are in need no more would pile up over months.
-        if start not in self.known.rate_by_incarnation:
-            self.sent_by_target.pop(start.target, None)
+    def _remove_counts(self, incarnation: TargetIncarnation) -> None:
+        # Counters of targets that are no longer throttled would accumulate over months.
+        if incarnation not in self.table.rate_by_incarnation:
+            self.sent_by_target.pop(incarnation.target, None)
 
 
 def make_rates(
@@ -93,21 +97,21 @@
     clock: Clock,
     random: Random,
 ) -> TargetRates:
-    """Return the rates of ``host``; it answers the others' requests for permits on ``server``."""
-    known = RateTable(host, targets, membership.gossip, clock)
-    permits = Permits(host, known, membership, caller, clock, random)
+    """Return the rates of ``host``; it handles other hosts' requests for permits on ``server``."""
+    table = RateTable(host, targets, membership.gossip, clock)
+    permits = Permits(host, table, membership, caller, clock, random)
     permits.register(server)
-    return TargetRates(known, permits)
+    return TargetRates(table, permits)
 
 
 def make_standalone_rates(targets: Targets, clock: Clock, random: Random) -> TargetRates:
-    """Return the rates of a host that stands alone."""
-    known = RateTable("", targets, _LocalGossip(), clock)
-    return TargetRates(known, Permits("", known, _NoHosts(), None, clock, random))
+    """Return the rates of a standalone host."""
+    table = RateTable("", targets, _LocalGossip(), clock)
+    return TargetRates(table, Permits("", table, _NoOtherHosts(), None, clock, random))
 
 
 class _LocalGossip(Gossip):
-    """Hand items to this host's own receivers."""
+    """Deliver items to this host's own subscribers only."""
 
     def __init__(self) -> None:
         self._receive_by_topic: dict[str, Callable[[Item], None]] = {}
@@ -122,8 +126,8 @@
         return []
 
 
-class _NoHosts:
-    """Know no other host."""
+class _NoOtherHosts:
+    """Membership without other hosts."""
 
     def alive(self) -> Sequence[HostView]:
         return []
--- a/cranberrywall/rates/_reading.py
+++ b/cranberrywall/rates/_reading.py
@@ -1,4 +1,4 @@
-"""Read the rate that a target names in an answer: the requests a second that it takes."""
+"""Parse the rate limit that a target states in an answer, in requests per second."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -7,10 +7,11 @@
 
 
 class RateNotice(NamedTuple):
-    """Hold what one answer says of its target's rate.
+    """Rate limit that one answer of a target states.
 
-    ``per_s`` is in requests a second, from all hosts together; ``None`` where the answer names no
-    rate. ``unreadable`` is what stands there where that is not one number: it changes nothing.
+    ``per_s`` is in requests per second from all hosts together; ``None`` if the answer states no
+    rate. ``unreadable`` is the value of the field if it is not a single number; such a value
+    changes nothing.
     """
 
     per_s: float | None = None
--- a/cranberrywall/rates/messages.py
+++ b/cranberrywall/rates/messages.py
@@ -1,4 +1,4 @@
-"""Define what entry hosts tell each other of the rates that targets name."""
+"""Messages between entry hosts about the rate limits of targets."""
 
 from typing import NamedTuple
 
@@ -7,9 +7,9 @@
 
 
 class NamedRate(NamedTuple):
-    """Say which rate holds for a start of a target, in requests a second; ``None``: none does.
+    """Rate limit of an incarnation of a target, in requests per second; ``None`` if there is none.
 
-    ``host`` heard it, in the answer to the request ``request_id``.
+    ``host`` received it in the answer to the request ``request_id``.
     """
 
     target: str
@@ -20,18 +20,18 @@
 
 
 class RequestedTarget(NamedTuple):
-    """Name a target that a permit may be for, with its rate as the asking host knows it.
+    """Target that a permit may be for, with its rate as the requesting host has it.
 
-    ``number`` counts the changes of that rate, so that the newer knowledge holds.
+    ``number`` counts the changes of that rate, so that the newer of two records applies.
     """
 
-    start: TargetIncarnation
+    incarnation: TargetIncarnation
     number: int
     per_s: float
 
 
 class PermitDemand(NamedTuple):
-    """Ask for permits for some ``requests`` of one rank and one workspace."""
+    """Permits that one workspace requests for ``requests`` requests of one rank."""
 
     rank: int
     workspace: str
@@ -39,35 +39,36 @@
 
 
 class PermitRequest(NamedTuple):
-    """Ask for permits to send requests to any of some targets of one group, the best one first.
+    """Request for permits at any of some targets of one group, the best target first.
 
-    ``wait_s`` is how long the answer may wait for the first permit; 0 for at once. Requests of an
-    answer at once that gets none wait on the host if a permit is expected within ``max_wait_s``.
-    ``returned`` are permits that this host has no use for.
+    ``wait_s`` is the time that the reply may wait for the first permit, in seconds; 0 for an
+    immediate reply. If an immediate reply has no permit, the requests are queued on the host if a
+    permit is expected within ``max_wait_s`` seconds. ``returned`` are permits that this host could
+    not use.
     """
 
     kind: str
     name: str
     targets: tuple[RequestedTarget, ...]
-    wants: tuple[PermitDemand, ...]
+    demands: tuple[PermitDemand, ...]
     wait_s: float
     max_wait_s: float = 0.0
     returned: tuple[TargetIncarnation, ...] = ()
 
 
 class Permit(NamedTuple):
-    """Allow one request to be sent to a target; ``rank`` and ``workspace`` are of its want."""
+    """Permission to send one request to a target, for a demand of ``rank`` and ``workspace``."""
 
-    start: TargetIncarnation
+    incarnation: TargetIncarnation
     rank: int
     workspace: str
 
 
 class PermitReply(NamedTuple):
-    """Give permits, and tell what may be expected.
+    """Issued permits and expected waits.
 
-    ``waits_s`` are, for each want in turn, the seconds until one more such request has a permit.
-    Until ``pause_s`` seconds from now it is of no use to ask again.
+    ``waits_s`` has, for each demand of the request, the expected seconds until one more such
+    request gets a permit. A new request within ``pause_s`` seconds is useless.
     """
 
     permits: tuple[Permit, ...]
--- a/cranberrywall/routing/__init__.py
+++ b/cranberrywall/routing/__init__.py
@@ -1,9 +1,9 @@
-"""Choose a target for each request, and queue what must wait."""
+"""Choose a target for each request, and queue requests while no target has capacity."""
 
+from cranberrywall.routing._gossip import AnnouncementGossip, make_announcement_gossip
 from cranberrywall.routing._interfaces import Demand, Outcome, OutcomeKind, Router, Slot
 from cranberrywall.routing._retries import RetryLimits
 from cranberrywall.routing._router import TargetRouter, make_router
-from cranberrywall.routing._spread import AnnouncementGossip, make_announcement_gossip
 
 __all__ = [
     "Demand",
--- a/cranberrywall/routing/_choice.py
+++ b/cranberrywall/routing/_choice.py
@@ -10,27 +10,29 @@
 from cranberrywall.runtime import Random
 from cranberrywall.targets import Backoffs, GroupMeans, PrefixIndex
 
-CHOICES = 2
-"""Candidates that are drawn by chance; holders of the prompt's prefix come on top."""
+RANDOM_CHOICES = 2
+"""Number of candidates that are drawn at random; targets that have the prompt's prefix cached
+are added."""
 
 MAX_DRAWS = 6
-"""Draws before all candidates are looked at in turn."""
+"""Maximum number of random draws; after them all candidates are examined in turn."""
 
-HOMES = 2
-"""Candidates by a hash of the prompt's beginning: the same ones on every host."""
+AFFINITY_TARGETS = 2
+"""Number of candidates selected by a hash of the prompt's beginning; all hosts select the same
+ones."""
 
-HOMES_TRIED = 3
-"""Targets in the order of the hash that are looked at, until one may be chosen.
+MAX_AFFINITY_TARGETS_TRIED = 3
+"""Number of targets that are examined in the order of the hash, until one may be chosen.
 
-Two that fail or are full at once are passed over; a third is rarer than a prompt read again.
-"""
+This covers two targets that fail or are full at the same time. A third one at the same time is
+rarer than a prompt that must be processed again anyway."""
 
-HOME_BLOCKS = 4
-"""A prompt's beginning is this many blocks."""
+AFFINITY_BLOCKS = 4
+"""Number of blocks in the beginning of a prompt."""
 
 
 class Chosen(NamedTuple):
-    """Hold a choice with what was predicted for it."""
+    """A chosen target with the predictions that were made for it."""
 
     candidate: Candidate
     work: Work
@@ -41,7 +43,7 @@
 
 
 class Choice:
-    """Choose among candidates; one for each model or service."""
+    """Choose among the candidates of one model or service."""
 
     def __init__(
         self, random: Random, waits: WaitModel, prefixes: PrefixIndex, backoffs: Backoffs
@@ -57,61 +59,67 @@
         claim: Claim,
         candidates: Sequence[Candidate],
         candidate_by_id: dict[str, Candidate],
-        usual: GroupMeans,
+        group_means: GroupMeans,
         barred: Container[str],
         now: float,
     ) -> Chosen | None:
-        """Return the best of two by chance and the prefix holders, or ``None``.
+        """Return the best of two random candidates and the prefix holders, or ``None``.
 
-        ``claim`` says which of the targets' limits hold for the demand; ``barred`` targets must
-        not be chosen.
+        ``claim`` selects which of the targets' limits apply to the demand. ``barred`` targets are
+        not chosen.
         """
-        fits = _Fit(demand, claim, usual, barred, self._backoffs, now)
+        eligibility = _Eligibility(demand, claim, group_means, barred, self._backoffs, now)
         matches = self._prefixes.matches(demand.prefix_hashes, now)
-        drawn = self._draw(candidates, fits)
+        drawn = self._draw(candidates, eligibility)
         if not drawn:
             return None
-        preferred = [candidate_by_id[known] for known in matches if known in candidate_by_id]
+        preferred = [
+            candidate_by_id[target_id] for target_id in matches if target_id in candidate_by_id
+        ]
         if demand.affinity_hash:
-            self._add_home(demand, candidates, fits, drawn, matches)
+            self._add_affinity_target(demand, candidates, eligibility, drawn, matches)
         else:
-            preferred += _homes(demand, candidates)
+            preferred += _prefix_affinity_targets(demand, candidates)
         for candidate in preferred:
             if candidate not in drawn:
-                fits.add(candidate, drawn)
+                eligibility.add(candidate, drawn)
         return self._best(demand, claim, drawn, matches, now)
 
-    def _draw(self, candidates: Sequence[Candidate], fits: "_Fit") -> dict[Candidate, float]:
+    def _draw(
+        self, candidates: Sequence[Candidate], eligibility: "_Eligibility"
+    ) -> dict[Candidate, float]:
         drawn: dict[Candidate, float] = {}
         size = len(candidates)
-        if size > CHOICES:
+        if size > RANDOM_CHOICES:
             for _ in range(MAX_DRAWS):
-                fits.add(candidates[self._random.randrange(0, size)], drawn)
-                if len(drawn) == CHOICES:
+                eligibility.add(candidates[self._random.randrange(0, size)], drawn)
+                if len(drawn) == RANDOM_CHOICES:
                     return drawn
-        # Few candidates have room, or there are few: chance would miss them.
+        # Few candidates have capacity, or there are few candidates: random draws would miss them.
         for candidate in candidates:
-            fits.add(candidate, drawn)
+            eligibility.add(candidate, drawn)
         return drawn
 
-    def _add_home(
+    def _add_affinity_target(
         self,
         demand: Demand,
         candidates: Sequence[Candidate],
-        fits: "_Fit",
+        eligibility: "_Eligibility",
         drawn: dict[Candidate, float],
         matches: dict[str, int],
     ) -> None:
-        """Add the target that all hosts send such prompts to, and take it to have them cached.
+        """Add the target that all hosts send such prompts to, and treat the prompt as cached there.
 
-        Where many hosts share many prompts, each of them meets a prompt too seldom to learn who
-        has it. The first target in the order of a hash that may be chosen is the same one for
-        all hosts; where it is set aside, all go to the next. With 58 hosts, targets read 252
-        thousand shared tokens again in a minute instead of 1,595 thousand, as counted in
-        their answers.
+        If many hosts share many prompts, each host sees one prompt too rarely to find out which
+        target has it cached. The first eligible target in the order of a hash is the same for all
+        hosts; if it is not eligible, all hosts use the next one. With 58 hosts, targets processed
+        252 thousand shared tokens again in a minute instead of 1,595 thousand, as counted in their
+        answers.
         """
-        for candidate in _ranked(demand.affinity_hash, candidates)[:HOMES_TRIED]:
-            fits.add(candidate, drawn)
+        for candidate in _ranked_by_hash(demand.affinity_hash, candidates)[
+            :MAX_AFFINITY_TARGETS_TRIED
+        ]:
+            eligibility.add(candidate, drawn)
             if candidate in drawn:
                 matches[candidate.target_id] = len(demand.prefix_hashes)
                 return
@@ -128,27 +136,27 @@
         best: Chosen | None = None
         best_cost = (0.0, 0.0)
         blocks = len(demand.prefix_hashes)
-        for candidate, busy in drawn.items():
-            missed = blocks - matches.get(candidate.target_id, 0)
-            work = candidate.work(missed, busy)
-            predicted = self._waits.predict(work)
-            delays = predicted + self._waits.delay_to_others(missed)
-            cost = (candidate.weigh(delays, now), self._random.random())
+        for candidate, estimated_load in drawn.items():
+            missed_blocks = blocks - matches.get(candidate.target_id, 0)
+            work = candidate.work(missed_blocks, estimated_load)
+            predicted_s = self._waits.predict(work)
+            delays = predicted_s + self._waits.delay_to_others(missed_blocks)
+            cost = (candidate.cost_s(delays, now), self._random.random())
             if best is None or cost < best_cost:
-                share = 1.0 - missed / blocks if blocks else 1.0
-                best = Chosen(candidate, work, predicted, missed, share, bounded)
+                cached_share = 1.0 - missed_blocks / blocks if blocks else 1.0
+                best = Chosen(candidate, work, predicted_s, missed_blocks, cached_share, bounded)
                 best_cost = cost
         return best
 
 
-class _Fit:
-    """Find which candidates may take one demand, and how busy they are."""
+class _Eligibility:
+    """Check which candidates are eligible for one demand, and estimate their load."""
 
     def __init__(
         self,
         demand: Demand,
         claim: Claim,
-        usual: GroupMeans,
+        group_means: GroupMeans,
         barred: Container[str],
         backoffs: Backoffs,
         now: float,
@@ -156,42 +164,44 @@
         self._backoffs = backoffs
         self._demand = demand
         self._claim = claim
-        self._usual = usual
+        self._group_means = group_means
         self._barred = barred
         self._now = now
 
     def add(self, candidate: Candidate, drawn: dict[Candidate, float]) -> None:
-        """Put ``candidate`` into ``drawn``, with how busy it is, where it may be chosen."""
+        """Add ``candidate`` with its estimated load to ``drawn`` if it is eligible."""
         demand = self._demand
         if candidate.target_id in demand.exclude or candidate.target_id in self._barred:
             return
-        if self._backoffs.blocks_requests(candidate.start, self._now):
+        if self._backoffs.blocks_requests(candidate.target_incarnation, self._now):
             return
         if not candidate.serves(demand.version, demand.adapter):
             return
-        if not candidate.has_room(self._claim, self._now):
+        if not candidate.has_capacity(self._claim, self._now):
             return
         if demand.retry and not candidate.retries.allows(self._now):
             return
-        drawn[candidate] = candidate.busy(self._usual, self._now)
+        drawn[candidate] = candidate.estimated_load(self._group_means, self._now)
 
 
-def _homes(demand: Demand, candidates: Sequence[Candidate]) -> list[Candidate]:
-    """Return where every host looks first for a prompt that begins like this one.
+def _prefix_affinity_targets(demand: Demand, candidates: Sequence[Candidate]) -> list[Candidate]:
+    """Return the candidates that every host considers first for prompts with this beginning.
 
-    Without it each host would warm a cache of its own for a popular beginning, and the
-    targets' caches would hold the same blocks many times.
+    Without it each host would fill the cache of another target for a popular beginning, and the
+    targets' caches would store the same blocks many times.
     """
     if not demand.prefix_hashes:
         return []
-    start = demand.prefix_hashes[:HOME_BLOCKS][-1]
-    key = int.from_bytes(start, "big")
-    return nlargest(HOMES, candidates, key=lambda candidate: _mix(candidate.seed ^ key))
+    beginning = demand.prefix_hashes[:AFFINITY_BLOCKS][-1]
+    key = int.from_bytes(beginning, "big")
+    return nlargest(AFFINITY_TARGETS, candidates, key=lambda candidate: _mix(candidate.seed ^ key))
 
 
-def _ranked(affinity_hash: bytes, candidates: Sequence[Candidate]) -> list[Candidate]:
+def _ranked_by_hash(affinity_hash: bytes, candidates: Sequence[Candidate]) -> list[Candidate]:
     key = int.from_bytes(affinity_hash[:8], "big")
-    return nlargest(HOMES_TRIED, candidates, key=lambda candidate: _mix(candidate.seed ^ key))
+    return nlargest(
+        MAX_AFFINITY_TARGETS_TRIED, candidates, key=lambda candidate: _mix(candidate.seed ^ key)
+    )
 
 
 def _mix(number: int) -> int:
--- a/cranberrywall/routing/_distances.py
+++ b/cranberrywall/routing/_distances.py
@@ -1,23 +1,23 @@
-"""Estimate how far a target's place is from this host's."""
+"""Estimate the network distance of a target's place from this host's place."""
 
 from cranberrywall.configuration import Configuration
 
 SAME_REGION_S = 0.003
-"""Round trip between two places of a region, in seconds."""
+"""Round-trip time between two places of a region, in seconds."""
 
 OTHER_REGION_S = 0.1
-"""Round trip between regions, in seconds."""
+"""Round-trip time between regions, in seconds."""
 
 
 class Distances:
-    """Read the regions of places from the configuration in force."""
+    """Estimate distances from the regions of places in the active configuration."""
 
     def __init__(self, configuration: Configuration, place: str) -> None:
         self._configuration = configuration
         self._place = place
 
     def seconds_to(self, place: str) -> float:
-        """Return the estimated round trip to ``place``, in seconds."""
+        """Return the estimated round-trip time to ``place``, in seconds."""
         if place == self._place:
             return 0.0
         if self._region(place) == self._region(self._place):
@@ -25,6 +25,6 @@
         return OTHER_REGION_S
 
     def _region(self, place: str) -> str:
-        # A target may announce a place that the configuration doesn't name (yet).
-        known = self._configuration.document["places"].get(place)
-        return known["region"] if known else ""
+        # A target may announce a place that the configuration does not (yet) contain.
+        found = self._configuration.document["places"].get(place)
+        return found["region"] if found else ""
--- a/cranberrywall/routing/_interfaces.py
+++ b/cranberrywall/routing/_interfaces.py
@@ -1,7 +1,7 @@
-"""Define where the life of a request meets the choice of a target.
+"""Interface between the code that runs requests and the router that chooses targets.
 
-Times are monotonic seconds. A demand is admitted once per attempt: a retry is a new demand
-whose ``exclude`` names the targets that were tried.
+Times are monotonic seconds. Each attempt is a demand of its own: a retry is a new demand whose
+``exclude`` names the targets that were already tried.
 """
 
 from enum import StrEnum
@@ -15,21 +15,23 @@
 
 
 class Demand(NamedTuple):
-    """Describe one attempt that needs a place at a target.
-
-    ``workspace`` is empty where a route already decided that the request may go there;
-    ``caller`` is the workspace that asks in any case, for even shares of what is scarce.
-    ``kind`` is ``"engine"`` or ``"service"`` and ``name`` the model or the service.
-    ``version`` and ``adapter`` are empty where any will do. ``rank`` is the priority, 0 is
-    served first. ``bound_tokens`` is the most that the attempt can cost. ``prefix_hashes``
-    is the chain of the prompt's block hashes, longest prefix last. ``affinity_hash`` is a hash of what
-    the prompt shares with others, where that is known: all hosts send such prompts to one
-    target, as long as it keeps up. ``exclude`` names the
-    targets already tried for this request; ``retry`` is true for each attempt but the
-    first, and draws on the retry budget. ``is_resend`` is true where an attempt before it reached no
-    target: it neither draws on that budget nor adds to it once more. ``excluded_may_serve`` is
-    true where another demand for the same request may go to an excluded target later: with no
-    other target it waits for one until its deadline, in place of being refused at once.
+    """One attempt of a request that needs a slot at a target.
+
+    ``workspace`` is empty if a route has already authorized the request; ``caller`` is the
+    requesting workspace in either case, and is used to share scarce capacity evenly. ``kind`` is
+    ``"engine"`` or ``"service"`` and ``name`` the model or the service. ``version`` and ``adapter``
+    are empty if any will do. ``rank`` is the priority; 0 is served first. ``bound_tokens`` is the
+    maximum number of tokens that the attempt can cost. ``prefix_hashes`` is the chain of the
+    prompt's block hashes, longest prefix last. ``affinity_hash`` is a hash of the part of the
+    prompt that other prompts share, or empty: all hosts send prompts with the same hash to one
+    target, as long as that target keeps up.
+
+    ``exclude`` names the targets already tried for this request. ``retry`` is true for each attempt
+    but the first; such an attempt spends from the retry budget. ``is_resend`` is true if an earlier
+    attempt reached no target: this attempt then neither spends from the retry budget nor adds to
+    it. ``excluded_may_serve`` is true if a later demand for the same request may go to an excluded
+    target: if there is no other target, this demand waits for one until its deadline instead of
+    being refused immediately.
     """
 
     workspace: str
@@ -50,7 +52,7 @@
 
 
 class OutcomeKind(StrEnum):
-    """Say how an attempt ended at the target."""
+    """How an attempt at a target ended."""
 
     ANSWERED = "answered"
     FAILED_BEFORE = "failed_before"
@@ -59,11 +61,11 @@
 
 
 class Outcome(NamedTuple):
-    """Report how an attempt ended; the router learns the target's health from it.
+    """How an attempt ended; the router updates the target's health from it.
 
-    ``FAILED_BEFORE`` means that no byte of the request was sent. ``first_token_s`` is the
-    time from the slot's grant to the first token, ``None`` where there was none.
-    ``tokens`` counts generated tokens.
+    ``FAILED_BEFORE`` means that no byte of the request was sent. ``first_token_s`` is the time from
+    the grant of the slot to the first token in seconds, ``None`` if there was none. ``tokens`` is
+    the number of generated tokens.
     """
 
     kind: OutcomeKind
@@ -72,7 +74,7 @@
 
 
 class Slot(Protocol):
-    """Hold one place at a target until ``finish``, which is called exactly once."""
+    """Capacity for one request at a target, occupied until ``finish`` is called."""
 
     @property
     def target_id(self) -> str:
@@ -81,68 +83,69 @@
 
     @property
     def url(self) -> str:
-        """Return the target's base URL, without a slash at the end."""
+        """Return the target's base URL, without a trailing slash."""
         ...
 
     @property
     def is_offered(self) -> bool:
         """Return whether the request may still be sent.
 
-        Since the grant, the target may have left or asked this host for a backoff.
+        The target may have left or asked this host for a backoff since the slot was granted.
         """
         ...
 
     @property
     def version(self) -> str:
-        """Return the model version to ask for; empty where the target named none."""
+        """Return the model version to request; empty if the target announced none."""
         ...
 
     def record_first_token(self, now: float) -> None:
-        """Note that the target began to answer; a target that stays silent is avoided."""
+        """Record that the target began to answer; a target that does not respond is avoided."""
         ...
 
     def record_load(self, running: int, waiting: int, now: float) -> None:
-        """Note the requests of all hosts that the target said it has now."""
+        """Record the requests of all hosts that the target reported as running and waiting."""
         ...
 
     def record_rate(self, notice: RateNotice, is_served: bool, request_id: str, now: float) -> None:
-        """Note what an answer said of the requests a second that the target takes.
+        """Record the rate limit, in requests per second, that an answer of the target stated.
 
         ``is_served`` is False for an answer that did not run the request.
         """
         ...
 
     def record_backoff(self, field: DecimalField, request_id: str, now: float) -> None:
-        """Note for how many seconds a 503 of the target asks for no further request."""
+        """Record the backoff, in seconds, that a 503 of the target asked for."""
         ...
 
     def announced_leaving(self, request_id: str, now: float) -> None:
-        """Note that the target says in an answer that it takes no new work."""
+        """Record that the target announced in an answer that it accepts no new work."""
         ...
 
     def finish(self, outcome: Outcome, now: float) -> None:
-        """Free the place and report the outcome; a second call does nothing."""
+        """Release the slot and report the outcome; a second call does nothing."""
         ...
 
 
 class Router(Protocol):
-    """Choose targets and hand out places at them."""
+    """Choose targets and grant slots at them."""
 
     async def acquire(self, demand: Demand, now: float) -> Result[Slot, Refusal]:
-        """Wait in the bounded priority queue until a target has a place, or refuse.
-
-        It refuses at once where the demand cannot be served before its deadline
-        (``OVERLOADED`` with a time to come back, ``RATE_LIMITED`` where targets take fewer
-        requests than ask for them, ``TOO_MANY_REQUESTS`` for a workspace over its number,
-        ``NO_TARGET``) and with ``DEADLINE_PASSED`` once a place would come too late for an answer.
-        When the waiting task is cancelled its place in the queue is freed.
+        """Wait in the bounded priority queue until a target has a free slot, or refuse.
+
+        A demand that cannot be served before its deadline is refused immediately: with
+        ``OVERLOADED`` and a time to retry after, with ``RATE_LIMITED`` if the rate limits of the
+        targets are exceeded, with ``TOO_MANY_REQUESTS`` if the workspace has reached its limit of
+        concurrent requests, or with ``NO_TARGET``. A queued demand is refused with
+        ``DEADLINE_PASSED`` once a slot would come too late for an answer. If the waiting task is
+        cancelled, its entry in the queue is removed.
         """
         ...
 
     async def may_send_again(self, url: str, rank: int, workspace: str) -> bool:
-        """Return whether one more call may go to a target where this request has a run.
+        """Return whether one more call may go to a target that has an attempt of this request.
 
-        A target in need, or one that asked for a backoff, counts each call that reaches it, also
-        one that only asks for the rest of an answer.
+        A throttled target, or one that asked for a backoff, counts each call that reaches it,
+        including a call that only requests the rest of an answer.
         """
         ...
--- a/cranberrywall/routing/_pool.py
+++ b/cranberrywall/routing/_pool.py
@@ -1,10 +1,10 @@
-"""Hold the targets of one model or service as this host uses them, and learn from use."""
+"""Targets of one model or service as this host uses them, with estimates from observed requests."""
 
 from collections.abc import Callable, Container, Sequence
 from statistics import fmean
 
 from cranberrywall.rates import RateNotice, TargetRates
-from cranberrywall.routing._candidates import Candidate, Claim, Shared
+from cranberrywall.routing._candidates import Candidate, Claim, Sharing
 from cranberrywall.routing._choice import Choice, Chosen
 from cranberrywall.routing._distances import Distances
 from cranberrywall.routing._interfaces import Demand, Outcome, OutcomeKind
@@ -20,43 +20,45 @@
     PrefixIndex,
 )
 
-USUAL_EVERY_S = 0.5
-"""The mean of what other hosts have at targets is computed this often, in seconds."""
+GROUP_MEANS_INTERVAL_S = 0.5
+"""Interval at which the means over the targets are computed, in seconds."""
 
-MOST_EJECTED = 0.5
-"""Share of the targets that may be ejected: with fewer left, failures prove little."""
+MAX_EJECTED_SHARE = 0.5
+"""Maximum share of the targets that may be ejected: with fewer targets left, failures say little
+about a single target."""
 
-KNOWN_AFTER_S = 10.0
-"""A target that joins later than this after the host's own start starts slowly, in seconds."""
+SLOW_START_DELAY_S = 10.0
+"""A target that joins later than this after the start of this host starts slowly, in seconds."""
 
 RESERVED_SHARE = 0.27
-"""Share of each target's places kept free for the first rank while places are short."""
+"""Share of each target's slots that is kept free for the first rank while slots are scarce."""
 
-CROWDED_FOR_S = 10.0
-"""Places count as short this long after a demand had to wait, in seconds."""
+QUEUEING_DURATION_S = 10.0
+"""Slots count as scarce for this time after a demand was queued, in seconds."""
 
 MIN_RESERVING_CAPACITY = 4
-"""A target with fewer places keeps none free for the first rank."""
+"""A target with fewer slots keeps none free for the first rank."""
 
-MOST_UNBOUNDED = 0.9
-"""The share of requests without a limit counts as this much at most."""
+MAX_UNBOUNDED_SHARE = 0.9
+"""Maximum value of the share of requests that no limit applies to."""
 
-SHARE_LEARNING = 0.1
-"""Weight of each look in the smoothed share of requests without a limit."""
+UNBOUNDED_SHARE_SMOOTHING = 0.1
+"""Smoothing factor of the share of requests that no limit applies to."""
 
-FILLED_FOR_BACKOFFS = 10.0
-"""A target that was full is tried beyond what it took then after so many backoffs."""
+FULL_LIMIT_BACKOFFS = 10.0
+"""The limit at a full target stays at the number of requests it had then for this multiple of
+its backoff."""
 
-RESERVED_FOR_S = 60.0
-"""Places are kept free this long after a demand of the first rank, in seconds."""
+RESERVATION_DURATION_S = 60.0
+"""Slots are kept free for this time after a demand of the first rank, in seconds."""
 
 
 OnLeaving = Callable[[Announcement, str, float], None]
-"""Take in that a target said in the answer to a request, at a time, that it leaves."""
+"""Handle a target that announces in an answer that it leaves: announcement, request id, time."""
 
 
 class Pool:
-    """Grant places at the targets of one group."""
+    """Grant slots at the targets of one group."""
 
     def __init__(
         self,
@@ -86,97 +88,117 @@
         self._used_share = 1.0
         self._started_at = now
         self._choice = Choice(random, self.waits, self.prefixes, backoffs)
-        self._usual = GroupMeans(0.0, 0.0, 0.0, self.waits.hold_s)
-        self._usual_until = 0.0
+        self._group_means = GroupMeans(0.0, 0.0, 0.0, self.waits.hold_s)
+        self._group_means_until = 0.0
         self._first_rank_until = 0.0
-        self._crowded_until = 0.0
-        self.hears_first_tokens = False
+        self._queueing_until = 0.0
+        self.reports_first_tokens = False
         self._has_prompts = False
 
     def put(self, announcement: Announcement, now: float) -> None:
-        """Take in the renewal of a target; one outside this host's subset is left out."""
+        """Apply the renewal of a target; a target outside this host's subset is ignored."""
         candidate = self.candidate_by_id.get(announcement.target)
         if candidate is None:
             return
         candidate.renew(announcement, now)
         if announcement.load is not None:
-            shared = self._shared(announcement, now)
-            candidate.report(announcement.load, shared, self.clock.wall(), now)
+            sharing = self._sharing(announcement, now)
+            candidate.apply_load(announcement.load, sharing, self.clock.wall(), now)
         late_s = candidate.load.late_s
         self.prefixes.apply(announcement.target, announcement.cache_events, late_s, now)
 
-    def note_load(self, chosen: Chosen, running: int, waiting: int, now: float) -> None:
-        """Take in what an answer of a target said of its load."""
+    def record_load(self, chosen: Chosen, running: int, waiting: int, now: float) -> None:
+        """Record the load that a target stated in an answer."""
         load = Load(running, waiting, self.clock.wall())
-        chosen.candidate.report(
-            load, self._shared(chosen.candidate.announcement, now), load.at, now
+        chosen.candidate.apply_load(
+            load, self._sharing(chosen.candidate.announcement, now), load.at, now
         )
 
-    def _shared(self, announcement: Announcement, now: float) -> Shared:
-        return Shared(
-            self._sharers(),
-            self._reserved(announcement.capacity, now),
-            self._usual_now(now).unbounded_share,
+    def _sharing(self, announcement: Announcement, now: float) -> Sharing:
+        return Sharing(
+            self._sharing_hosts(),
+            self._reserved_slots(announcement.capacity, now),
+            self._current_group_means(now).unbounded_share,
         )
 
     def remove(self, target_id: str) -> None:
-        """Choose the target no more; its requests in progress go on."""
+        """Stop choosing the target; its requests in progress continue."""
         if self.candidate_by_id.pop(target_id, None) is not None:
             self.candidates = list(self.candidate_by_id.values())
             self.prefixes.remove(target_id)
 
-    def choose_from(self, announcements: Sequence[Announcement], known: int, now: float) -> None:
-        """Use these of ``known`` targets, and keep what is known of those in use before."""
-        self._used_share = len(announcements) / max(1, known)
+    def set_targets(
+        self, announcements: Sequence[Announcement], target_count: int, now: float
+    ) -> None:
+        """Use these of ``target_count`` targets; those already in use keep their state."""
+        self._used_share = len(announcements) / max(1, target_count)
         subset = {announcement.target for announcement in announcements}
         for target_id in self.candidate_by_id.keys() - subset:
             self.remove(target_id)
         for announcement in announcements:
-            if not self._knows(announcement):
+            if not self._has_incarnation(announcement):
                 self._add(announcement, now)
         self.candidates = list(self.candidate_by_id.values())
 
-    def offers(self, candidate: Candidate, now: float) -> bool:
-        """Return whether this start of the target may still be sent what was granted."""
-        known = self.candidate_by_id.get(candidate.target_id)
-        if known is None or known.start != candidate.start:
+    def is_offered(self, candidate: Candidate, now: float) -> bool:
+        """Return whether this incarnation of the target may still be sent a granted request."""
+        current = self.candidate_by_id.get(candidate.target_id)
+        if current is None or current.target_incarnation != candidate.target_incarnation:
             return False
-        return now >= self.backoffs.until(candidate.start, now)
+        return now >= self.backoffs.until(candidate.target_incarnation, now)
 
-    def opens_at(self, demand: Demand, now: float) -> float | None:
-        """Return when a target that may take ``demand`` is out of its backoff.
+    def available_at(self, demand: Demand, now: float) -> float | None:
+        """Return when the backoff of a target that may take ``demand`` ends.
 
-        ``None`` where targets serve such demands, and the demand may go to none of them.
+        ``None`` if there are targets that serve such demands, but the demand excludes all of them.
         """
         if not demand.exclude and not self.backoffs.has_any():
             return now
-        serving = [one for one in self.candidates if one.serves(demand.version, demand.adapter)]
+        serving = [
+            candidate
+            for candidate in self.candidates
+            if candidate.serves(demand.version, demand.adapter)
+        ]
         if not serving:
             return now
-        starts = [one.start for one in serving if one.target_id not in demand.exclude]
-        return min((self.backoffs.until(start, now) for start in starts), default=None)
+        incarnations = [
+            candidate.target_incarnation
+            for candidate in serving
+            if candidate.target_id not in demand.exclude
+        ]
+        return min(
+            (self.backoffs.until(incarnation, now) for incarnation in incarnations), default=None
+        )
 
     def serves(self, demand: Demand) -> bool:
-        """Say whether a target of the pool has what ``demand`` asks for."""
+        """Return whether a target of the pool has what ``demand`` requires."""
         return any(
             candidate.serves(demand.version, demand.adapter) for candidate in self.candidates
         )
 
     def in_flight(self) -> int:
-        """Return this host's requests at all targets of the pool."""
+        """Return the number of this host's requests at all targets of the pool."""
         return sum(candidate.load.in_flight for candidate in self.candidates)
 
-    def limited(self) -> dict[str, Candidate]:
-        """Return, by id, the targets that named the requests a second that they take."""
-        rates = self.rates.known.rate_by_incarnation
+    def throttled_by_id(self) -> dict[str, Candidate]:
+        """Return, by id, the targets that stated a limit of requests per second."""
+        rates = self.rates.table.rate_by_incarnation
         if not rates:
             return {}
-        return {known.target_id: known for known in self.candidates if known.start in rates}
+        return {
+            candidate.target_id: candidate
+            for candidate in self.candidates
+            if candidate.target_incarnation in rates
+        }
 
-    def open_limited(self, now: float) -> list[Candidate]:
-        """Return the targets that named a rate and are in no backoff."""
-        limited = self.limited().values()
-        return [known for known in limited if not self.backoffs.blocks_requests(known.start, now)]
+    def available_throttled(self, now: float) -> list[Candidate]:
+        """Return the throttled targets that are not in a backoff."""
+        throttled = self.throttled_by_id().values()
+        return [
+            candidate
+            for candidate in throttled
+            if not self.backoffs.blocks_requests(candidate.target_incarnation, now)
+        ]
 
     def propose(
         self,
@@ -185,18 +207,18 @@
         now: float,
         open_to: frozenset[str] = frozenset(),
     ) -> Chosen | None:
-        """Return the best target that has room for ``demand``; nothing is granted yet.
+        """Return the best target with capacity for ``demand``; no slot is granted yet.
 
-        Of those that named a rate, only those that the demand is ``open_to`` are chosen: they need
-        a permit.
+        Requests to throttled targets need a permit, so only the throttled targets in ``open_to``
+        are considered.
         """
         if is_first_rank:
-            self._first_rank_until = now + RESERVED_FOR_S
-        limited = self.limited()
-        barred = limited.keys() - open_to if limited else ()
+            self._first_rank_until = now + RESERVATION_DURATION_S
+        throttled = self.throttled_by_id()
+        barred = throttled.keys() - open_to if throttled else ()
         claim = Claim.FIRST_RANK if is_first_rank else Claim.BOUNDED
         chosen = self._choose(demand, claim, self.candidates, barred, now)
-        # Where hosts are more than places some have none by their limits; one request for
+        # If there are more hosts than slots, the limits of some hosts are zero. One request for
         # each host keeps their waiters from starving.
         if chosen is None and not self.in_flight():
             chosen = self._choose(demand, Claim.ONLY, self.candidates, barred, now)
@@ -205,7 +227,7 @@
     def propose_at(
         self, candidate: Candidate, demand: Demand, is_first_rank: bool, now: float
     ) -> Chosen | None:
-        """Return the choice of this one target, if it has room for ``demand``."""
+        """Return the choice of this one target if it has capacity for ``demand``, else ``None``."""
         claim = Claim.FIRST_RANK if is_first_rank else Claim.BOUNDED
         chosen = self._choose(demand, claim, [candidate], (), now)
         if chosen is None:
@@ -213,15 +235,17 @@
         return chosen
 
     def grant(self, chosen: Chosen, demand: Demand, on_end: "OnEnd", now: float) -> "PoolSlot":
-        """Return a place at the target that was just proposed for ``demand``."""
-        self._start(chosen, demand, now)
+        """Return a slot at the target that was just proposed for ``demand``."""
+        self._record_start(chosen, demand, now)
         return PoolSlot(self, chosen, demand, on_end, now)
 
-    def hear(self, chosen: Chosen, owed: bool, since: float, now: float) -> None:
-        """Note that a target began to answer."""
-        self.hears_first_tokens = True
-        self.backoffs.record_served(chosen.candidate.start, since)
-        if owed:
+    def record_first_token(
+        self, chosen: Chosen, is_token_due: bool, granted_at: float, now: float
+    ) -> None:
+        """Record that a target began to answer."""
+        self.reports_first_tokens = True
+        self.backoffs.record_served(chosen.candidate.target_incarnation, granted_at)
+        if is_token_due:
             chosen.candidate.health.record_response(now)
             chosen.candidate.pending_blocks -= chosen.missed_blocks
 
@@ -229,51 +253,51 @@
         self,
         chosen: Chosen,
         outcome: Outcome,
-        owed: bool,
-        is_turned_away: bool,
-        since: float,
+        is_token_due: bool,
+        is_rejected: bool,
+        granted_at: float,
         now: float,
     ) -> None:
-        """Free a place and learn from the outcome.
+        """Release a slot and update the estimates from the outcome.
 
-        ``owed`` is whether no answer began before. A target that turned the request away and
-        asked for a backoff is full: that is no failure.
+        ``is_token_due`` is True if the first token was still awaited. A target that rejected the
+        request and asked for a backoff is full; this does not count as a failure.
         """
         candidate = chosen.candidate
         candidate.load.end(chosen.bounded, now)
         answered = outcome.kind is OutcomeKind.ANSWERED
-        if owed:
+        if is_token_due:
             candidate.pending_blocks -= chosen.missed_blocks
             if answered:
                 candidate.health.record_response(now)
             else:
                 candidate.health.record_abandoned()
-        if is_turned_away:
-            self._fill(candidate, now)
+        if is_rejected:
+            self._record_full(candidate, now)
         elif answered:
             candidate.health.answered(now)
-            self.backoffs.record_served(candidate.start, since)
-            self._learn(chosen, outcome, since, now)
+            self.backoffs.record_served(candidate.target_incarnation, granted_at)
+            self._update_estimates(chosen, outcome, granted_at, now)
         elif outcome.kind is not OutcomeKind.CANCELLED:
-            self._fail(candidate, now)
+            self._record_failure(candidate, now)
 
-    def record_probe(self, target_id: str, well: bool, now: float) -> None:
-        """Take in what a probe of an ejected target showed."""
+    def record_probe(self, target_id: str, is_healthy: bool, now: float) -> None:
+        """Record the result of a probe of an ejected target."""
         candidate = self.candidate_by_id.get(target_id)
         if candidate is not None:
-            candidate.health.record_probe(well, now)
+            candidate.health.record_probe(is_healthy, now)
 
     def targets_to_probe(self, now: float) -> list[Announcement]:
-        """Return the targets that are worth a probe: ejected or unresponsive ones.
+        """Return the ejected and unresponsive targets that should be probed.
 
-        A target in need counts a probe as it counts a request, so it is tried by requests only.
+        A throttled target counts a probe as a request, so it is tried by requests only.
         """
         return [
             candidate.announcement
             for candidate in self.candidates
             if candidate.health.is_ejected(now) or candidate.health.is_unresponsive(now)
-            if not self.backoffs.blocks_requests(candidate.start, now)
-            if candidate.start not in self.rates.known.rate_by_incarnation
+            if not self.backoffs.blocks_requests(candidate.target_incarnation, now)
+            if candidate.target_incarnation not in self.rates.table.rate_by_incarnation
         ]
 
     def _choose(
@@ -284,54 +308,54 @@
         barred: Container[str],
         now: float,
     ) -> Chosen | None:
-        usual = self._usual_now(now)
+        group_means = self._current_group_means(now)
         by_id = self.candidate_by_id
         if candidates is not self.candidates:
             by_id = {candidate.target_id: candidate for candidate in candidates}
-        return self._choice.choose(demand, claim, candidates, by_id, usual, barred, now)
+        return self._choice.choose(demand, claim, candidates, by_id, group_means, barred, now)
 
-    def note_crowd(self, now: float) -> None:
-        """Note that demands wait: places are short."""
-        self._crowded_until = now + CROWDED_FOR_S
+    def record_queueing(self, now: float) -> None:
+        """Record that demands are queued, so that slots count as scarce."""
+        self._queueing_until = now + QUEUEING_DURATION_S
 
-    def _reserved(self, capacity: int, now: float) -> float:
-        # Places kept free while they are not short would only narrow the choice. A small
-        # target has none to spare for a rank that may not come.
-        is_crowded = now < min(self._crowded_until, self._first_rank_until)
-        if not is_crowded or capacity < MIN_RESERVING_CAPACITY:
+    def _reserved_slots(self, capacity: int, now: float) -> float:
+        # Slots that are kept free while there is no shortage would only narrow the choice. A small
+        # target has none to spare for a rank that may send no request.
+        is_scarce = now < min(self._queueing_until, self._first_rank_until)
+        if not is_scarce or capacity < MIN_RESERVING_CAPACITY:
             return 0.0
         return max(1.0, capacity * RESERVED_SHARE)
 
-    def _sharers(self) -> int:
+    def _sharing_hosts(self) -> int:
         return max(1, round(self._count_hosts() * self._used_share))
 
-    def _knows(self, announcement: Announcement) -> bool:
-        known = self.candidate_by_id.get(announcement.target)
-        return known is not None and known.announcement.incarnation == announcement.incarnation
+    def _has_incarnation(self, announcement: Announcement) -> bool:
+        current = self.candidate_by_id.get(announcement.target)
+        return current is not None and current.announcement.incarnation == announcement.incarnation
 
     def _add(self, announcement: Announcement, now: float) -> None:
-        # A restarted target is another one as far as health, load and cache go; requests
-        # in progress at the earlier run are counted at the earlier candidate.
+        # A restarted target starts with new health, load and cache state. Its requests in progress
+        # at the previous incarnation are counted at the previous candidate.
         candidate = Candidate(
             announcement,
             self._distances.seconds_to(announcement.place),
-            self._sharers(),
+            self._sharing_hosts(),
             self._random.random(),
             now,
-            slow_start=now - self._started_at > KNOWN_AFTER_S,
+            is_slow_start=now - self._started_at > SLOW_START_DELAY_S,
             retries=RetryBudget(now, self._retry_limits, self._count_hosts),
         )
         self.candidate_by_id[announcement.target] = candidate
         self.prefixes.put(announcement.target, announcement.incarnation)
         self.put(announcement, now)
 
-    def _start(self, chosen: Chosen, demand: Demand, now: float) -> None:
+    def _record_start(self, chosen: Chosen, demand: Demand, now: float) -> None:
         candidate = chosen.candidate
-        rates = self.rates.known.rate_by_incarnation
-        if rates and candidate.start in rates:
+        rates = self.rates.table.rate_by_incarnation
+        if rates and candidate.target_incarnation in rates:
             self.rates.sent_by_target[candidate.target_id] += 1
-        self.backoffs.record_sent(candidate.start, now)
-        if demand.exclude and self._avoids_backoff(demand, now):
+        self.backoffs.record_sent(candidate.target_incarnation, now)
+        if demand.exclude and self._avoided_backoff(demand, now):
             self.backoffs.rerouted += 1
         candidate.load.start(chosen.bounded, now)
         budgets = (self.retries, candidate.retries)
@@ -339,81 +363,88 @@
             if demand.retry:
                 budget.spend(now)
             elif not demand.is_resend:
-                budget.first_attempt(now)
-        if self.hears_first_tokens:
+                budget.record_first_attempt(now)
+        if self.reports_first_tokens:
             candidate.pending_blocks += chosen.missed_blocks
             candidate.health.record_sent(now)
         self.prefixes.use(candidate.target_id, demand.prefix_hashes, now)
         self._has_prompts = self._has_prompts or bool(demand.prefix_hashes)
 
-    def _avoids_backoff(self, demand: Demand, now: float) -> bool:
-        """Return whether a target that the demand was tried at asked for a backoff since."""
+    def _avoided_backoff(self, demand: Demand, now: float) -> bool:
+        """Return whether a target that the demand was tried at has asked for a backoff."""
         tried = (self.candidate_by_id.get(target_id) for target_id in demand.exclude)
         return any(
-            one is not None and self.backoffs.blocks_requests(one.start, now) for one in tried
+            candidate is not None
+            and self.backoffs.blocks_requests(candidate.target_incarnation, now)
+            for candidate in tried
         )
 
-    def _learn(self, chosen: Chosen, outcome: Outcome, since: float, now: float) -> None:
+    def _update_estimates(
+        self, chosen: Chosen, outcome: Outcome, granted_at: float, now: float
+    ) -> None:
         candidate = chosen.candidate
-        self.waits.learn_hold(now - since)
+        self.waits.update_hold(now - granted_at)
         seconds = outcome.first_token_s
         if seconds is None:
             return
         unqueued_s = self.waits.predict(chosen.work._replace(excess_share=0.0))
-        if candidate.limit.answered(unqueued_s, seconds, candidate.load.in_flight, now):
+        if candidate.limit.observe_first_token(unqueued_s, seconds, candidate.load.in_flight, now):
             candidate.limit.shrink(self.waits.hold_s, now)
-        # Slow targets must not make the model predict that all are slow.
-        self.waits.learn(chosen.work, seconds / candidate.slowness(now))
-        candidate.observe(chosen.predicted_s, seconds, now)
+        # Correct for the target's slowness: slow targets must not make the model predict that all
+        # targets are slow.
+        self.waits.update(chosen.work, seconds / candidate.slowness(now))
+        candidate.update_slowness(chosen.predicted_s, seconds, now)
 
-    def _fill(self, candidate: Candidate, now: float) -> None:
-        """Take in that a target is full while this host has requests there.
+    def _record_full(self, candidate: Candidate, now: float) -> None:
+        """Record that a target is full while this host has requests there.
 
-        Its work goes to the neighbours for the length of the backoff, as that of other hosts does.
-        They would be filled one after the other, were it not for even shares. Where prompts are
-        cached, shares are uneven on purpose, and stay as they are.
+        During the backoff this host and the other hosts send the work of the target to its
+        neighbours. Without even shares the neighbours would be filled one after the other. If
+        prompts are cached, the shares are uneven on purpose and stay as they are.
         """
         if not candidate.load.bounded:
             return
-        left_s = self.backoffs.until(candidate.start, now) - now
-        until = now + FILLED_FOR_BACKOFFS * left_s
-        candidate.limit.filled(candidate.load.bounded, until, now)
+        remaining_s = self.backoffs.until(candidate.target_incarnation, now) - now
+        until = now + FULL_LIMIT_BACKOFFS * remaining_s
+        candidate.limit.cap_at_rejection(candidate.load.bounded, until, now)
         for other in self.candidates if not self._has_prompts else ():
             if other is not candidate:
-                other.limit.keep_to_share(other.load.bounded, now + left_s, now)
+                other.limit.cap_at_even_share(other.load.bounded, now + remaining_s, now)
 
-    def _fail(self, candidate: Candidate, now: float) -> None:
+    def _record_failure(self, candidate: Candidate, now: float) -> None:
         candidate.limit.shrink(self.waits.hold_s, now, failed=True)
-        ejected = sum(known.health.is_ejected(now) for known in self.candidates)
-        may_eject = ejected + 1 <= MOST_EJECTED * len(self.candidates)
+        ejected = sum(other.health.is_ejected(now) for other in self.candidates)
+        may_eject = ejected + 1 <= MAX_EJECTED_SHARE * len(self.candidates)
         candidate.health.failed(now, may_eject, self._random)
 
-    def _usual_now(self, now: float) -> GroupMeans:
-        if now >= self._usual_until:
-            self._usual_until = now + USUAL_EVERY_S
+    def _current_group_means(self, now: float) -> GroupMeans:
+        if now >= self._group_means_until:
+            self._group_means_until = now + GROUP_MEANS_INTERVAL_S
             loads = [candidate.load for candidate in self.candidates]
             reported = [load.last_others for load in loads if load.last_others is not None]
-            self._usual = GroupMeans(
+            self._group_means = GroupMeans(
                 own=fmean([load.own_mean(now) for load in loads] or [0.0]),
                 others=fmean(reported or [0.0]),
                 unbounded_share=self._unbounded_share(),
                 hold_s=self.waits.hold_s,
             )
-        return self._usual
+        return self._group_means
 
     def _unbounded_share(self) -> float:
         loads = [candidate.load for candidate in self.candidates]
         own = sum(load.in_flight for load in loads)
         bounded = sum(load.bounded for load in loads)
-        share = min(MOST_UNBOUNDED, 1.0 - bounded / own) if own else 0.0
-        return self._usual.unbounded_share + SHARE_LEARNING * (share - self._usual.unbounded_share)
+        share = min(MAX_UNBOUNDED_SHARE, 1.0 - bounded / own) if own else 0.0
+        return self._group_means.unbounded_share + UNBOUNDED_SHARE_SMOOTHING * (
+            share - self._group_means.unbounded_share
+        )
 
 
 OnEnd = Callable[[float], None]
 
 
 class PoolSlot:
-    """Hold one place at a target."""
+    """Slot at a target of a pool."""
 
     def __init__(
         self, pool: Pool, chosen: Chosen, demand: Demand, on_end: OnEnd, now: float
@@ -423,14 +454,14 @@
         self._announcement = chosen.candidate.announcement
         self._version = demand.version
         self._on_end = on_end
-        self._since = now
-        self._rate_number = pool.rates.known.known(chosen.candidate.start).number
-        # Where requests don't tell of first tokens nothing is owed: a long answer would
-        # else look like silence.
-        self._owed = pool.hears_first_tokens
-        self._heard = False
-        self._open = True
-        self._is_turned_away = False
+        self._granted_at = now
+        self._rate_number = pool.rates.table.record_of(chosen.candidate.target_incarnation).number
+        # If the requests of this group do not report first tokens, none is awaited: otherwise a
+        # long answer would look like an unresponsive target.
+        self._is_token_due = pool.reports_first_tokens
+        self._has_first_token = False
+        self._is_open = True
+        self._is_rejected = False
 
     @property
     def target_id(self) -> str:
@@ -445,46 +476,48 @@
     @property
     def is_offered(self) -> bool:
         """Return whether the request may still be sent; see ``Slot``."""
-        return self._pool.offers(self._chosen.candidate, self._pool.clock.now())
+        return self._pool.is_offered(self._chosen.candidate, self._pool.clock.now())
 
     @property
     def version(self) -> str:
-        """Return the version to ask for: the demand's, or the target's first one."""
+        """Return the version to request: the demand's, or the target's first one."""
         if self._version or not self._announcement.versions:
             return self._version
         return self._announcement.versions[0]
 
     def record_first_token(self, now: float) -> None:
-        """Note that the target began to answer; a second call does nothing."""
-        if self._open and not self._heard:
-            self._heard = True
-            self._pool.hear(self._chosen, self._owed, self._since, now)
-            self._owed = False
+        """Record that the target began to answer; a second call does nothing."""
+        if self._is_open and not self._has_first_token:
+            self._has_first_token = True
+            self._pool.record_first_token(self._chosen, self._is_token_due, self._granted_at, now)
+            self._is_token_due = False
 
     def record_load(self, running: int, waiting: int, now: float) -> None:
-        """Note the requests of all hosts that the target said it has now."""
-        self._pool.note_load(self._chosen, running, waiting, now)
+        """Record the requests of all hosts that the target reported as running and waiting."""
+        self._pool.record_load(self._chosen, running, waiting, now)
 
     def record_rate(self, notice: RateNotice, is_served: bool, request_id: str, now: float) -> None:
-        """Note what an answer said of the requests a second that the target takes."""
-        start = self._chosen.candidate.start
-        known = self._pool.rates.known
-        known.record_response(start, notice, self._rate_number, is_served, request_id, now)
+        """Record the rate limit, in requests per second, that an answer of the target stated."""
+        incarnation = self._chosen.candidate.target_incarnation
+        table = self._pool.rates.table
+        table.apply_notice(incarnation, notice, self._rate_number, is_served, request_id, now)
 
     def record_backoff(self, field: DecimalField, request_id: str, now: float) -> None:
-        """Note for how many seconds a 503 of the target asks for no further request."""
-        start = self._chosen.candidate.start
-        if self._pool.backoffs.record_requested(start, field, request_id, now):
-            self._is_turned_away = True
+        """Record the backoff, in seconds, that a 503 of the target asked for."""
+        incarnation = self._chosen.candidate.target_incarnation
+        if self._pool.backoffs.record_requested(incarnation, field, request_id, now):
+            self._is_rejected = True
 
     def announced_leaving(self, request_id: str, now: float) -> None:
-        """Note that the target says in an answer that it takes no new work."""
+        """Record that the target announced in an answer that it accepts no new work."""
         self._pool.on_leaving(self._announcement, request_id, now)
 
     def finish(self, outcome: Outcome, now: float) -> None:
-        """Free the place; a second call does nothing."""
-        if self._open:
-            self._open = False
-            turned_away = self._is_turned_away
-            self._pool.finish(self._chosen, outcome, self._owed, turned_away, self._since, now)
+        """Release the slot; a second call does nothing."""
+        if self._is_open:
+            self._is_open = False
+            is_rejected = self._is_rejected
+            self._pool.finish(
+                self._chosen, outcome, self._is_token_due, is_rejected, self._granted_at, now
+            )
             self._on_end(now)
--- a/cranberrywall/routing/_queue.py
+++ b/cranberrywall/routing/_queue.py
@@ -1,4 +1,4 @@
-"""Order the demands that wait for a place: by rank, by age within it, and by deadline."""
+"""Queue of demands that wait for a slot, ordered by rank, by age, and by deadline."""
 
 import asyncio
 import heapq
@@ -11,53 +11,54 @@
 from cranberrywall.errors import Refusal
 from cranberrywall.routing._interfaces import Demand, Slot
 
-Answer = Result[Slot, Refusal]
+AcquireResult = Result[Slot, Refusal]
 
-WAITING_SHARE = 0.8
-"""Share of a caller's time that a request may wait for a place.
+MAX_WAIT_SHARE = 0.8
+"""Share of the time until the deadline that a request may wait for a slot.
 
-The rest is for the target: an answer that begins at the deadline is none."""
+The rest is for the target: an answer that begins at the deadline is useless."""
 
 AGED_SHARE = 0.5
-"""A waiter is aged when less than this share of its time is left."""
+"""A waiter counts as aged when less than this share of its time is left."""
 
-AGED_EVERY = 4
-"""While others wait, one place in this many goes to an aged waiter first."""
+AGED_INTERVAL = 4
+"""One of this number of slots goes to an aged waiter first, while others wait."""
 
 MAX_SCANNED = 32
-"""Waiters of a rank that are looked at most when a place becomes free."""
+"""Maximum number of waiters of a rank that are examined when a slot becomes free."""
 
 
 class Waiter:
-    """Hold one demand that waits, and the future that its task awaits.
+    """A queued demand, and the future that its task awaits.
 
-    ``on_end`` is for the slot that it may get. A place after ``latest`` is of no use to it.
+    ``on_end`` is called when the slot that it may get is released. A slot granted after
+    ``latest_grant_at`` comes too late for it.
     """
 
     def __init__(
         self,
         demand: Demand,
-        future: asyncio.Future[Answer],
+        future: asyncio.Future[AcquireResult],
         on_end: Callable[[float], None],
-        since: float,
-        latest: float,
+        queued_at: float,
+        latest_grant_at: float,
     ) -> None:
         self.demand = demand
         self.future = future
         self.on_end = on_end
-        self.since = since
-        self.latest = latest
-        self.passed_over = 0
-        self.aged_at = demand.deadline - AGED_SHARE * (demand.deadline - since)
+        self.queued_at = queued_at
+        self.latest_grant_at = latest_grant_at
+        self.times_passed_over = 0
+        self.aged_at = demand.deadline - AGED_SHARE * (demand.deadline - queued_at)
 
-    def answer(self, answer: Answer) -> None:
-        """Wake the waiting task, unless it was cancelled meanwhile."""
+    def resolve(self, result: AcquireResult) -> None:
+        """Resolve the future of the waiting task, unless the task was cancelled."""
         if not self.future.done():
-            self.future.set_result(answer)
+            self.future.set_result(result)
 
 
-class _Lane:
-    """Hold the waiters of one rank, by arrival and by when they must have a place."""
+class _RankQueue:
+    """Waiters of one rank, in order of arrival and by their latest time for a slot."""
 
     def __init__(self) -> None:
         self.waiters: dict[Waiter, None] = {}
@@ -66,32 +67,32 @@
 
     def add(self, waiter: Waiter) -> None:
         self.waiters[waiter] = None
-        heapq.heappush(self._by_latest, (waiter.latest, next(self._numbers), waiter))
+        heapq.heappush(self._by_latest, (waiter.latest_grant_at, next(self._numbers), waiter))
 
     def discard(self, waiter: Waiter) -> bool:
         if waiter not in self.waiters:
             return False
         del self.waiters[waiter]
-        # Those that left stay in the heap until they come up; a queue whose callers give
-        # up quickly would grow without bound.
+        # Removed waiters stay in the heap until they reach its top. Rebuild the heap when it has
+        # grown too large: otherwise it would grow without bound if callers cancel quickly.
         if len(self._by_latest) > 2 * len(self.waiters) + MAX_SCANNED:
             self._by_latest = [entry for entry in self._by_latest if entry[2] in self.waiters]
             heapq.heapify(self._by_latest)
         return True
 
     def first_due(self) -> Waiter | None:
-        """Return the waiter that must have a place first."""
+        """Return the waiter with the earliest ``latest_grant_at`` time, if there is any."""
         while self._by_latest and self._by_latest[0][2] not in self.waiters:
             heapq.heappop(self._by_latest)
         return self._by_latest[0][2] if self._by_latest else None
 
 
 class WaitingQueue:
-    """Keep at most ``bound`` waiters."""
+    """Priority queue of at most ``max_size`` waiters."""
 
-    def __init__(self, bound: int) -> None:
-        self._bound = bound
-        self._lane_by_rank: dict[int, _Lane] = {}
+    def __init__(self, max_size: int) -> None:
+        self._max_size = max_size
+        self._queue_by_rank: dict[int, _RankQueue] = {}
         self._size = 0
         self._grants_since_aged = 0
 
@@ -100,87 +101,93 @@
 
     @property
     def is_full(self) -> bool:
-        """Say whether a waiter must go before another comes."""
-        return self._size >= self._bound
+        """Return whether a waiter must be removed before another one can be added."""
+        return self._size >= self._max_size
 
     def add(self, waiter: Waiter) -> None:
-        """Put a waiter behind those of its rank."""
-        self._lane_by_rank.setdefault(waiter.demand.rank, _Lane()).add(waiter)
+        """Add a waiter behind those of its rank."""
+        self._queue_by_rank.setdefault(waiter.demand.rank, _RankQueue()).add(waiter)
         self._size += 1
 
     def discard(self, waiter: Waiter) -> None:
-        """Take a waiter out; one that is not in the queue is no error."""
-        lane = self._lane_by_rank.get(waiter.demand.rank)
-        if lane is None or not lane.discard(waiter):
+        """Remove a waiter; does nothing if it is not in the queue."""
+        queue = self._queue_by_rank.get(waiter.demand.rank)
+        if queue is None or not queue.discard(waiter):
             return
         self._size -= 1
-        if not lane.waiters:
-            del self._lane_by_rank[waiter.demand.rank]
+        if not queue.waiters:
+            del self._queue_by_rank[waiter.demand.rank]
 
-    def granted(self, waiter: Waiter, now: float) -> None:
-        """Take out a waiter that got a place."""
-        is_best = waiter.demand.rank == min(self._lane_by_rank)
+    def record_grant(self, waiter: Waiter, now: float) -> None:
+        """Remove a waiter that got a slot, and count the grant for aging."""
+        is_best = waiter.demand.rank == min(self._queue_by_rank)
         self._grants_since_aged = self._grants_since_aged + 1 if is_best else 0
         self.discard(waiter)
 
     def count_ahead(self, rank: int) -> int:
-        """Return how many waiters go before a new one of ``rank``."""
-        lanes = self._lane_by_rank.items()
-        return sum(len(lane.waiters) for known, lane in lanes if known <= rank)
+        """Return the number of waiters that go before a new one of ``rank``."""
+        queues = self._queue_by_rank.items()
+        return sum(len(queue.waiters) for other, queue in queues if other <= rank)
 
     def by_demand(self) -> dict[tuple[int, str], list[Waiter]]:
-        """Return all waiters by rank and workspace, the first in order first."""
-        found: dict[tuple[int, str], list[Waiter]] = {}
-        for rank in sorted(self._lane_by_rank):
-            for waiter in self._lane_by_rank[rank].waiters:
-                found.setdefault((rank, waiter.demand.caller), []).append(waiter)
-        return found
+        """Return all waiters by rank and workspace, in queue order."""
+        waiters_by_key: dict[tuple[int, str], list[Waiter]] = {}
+        for rank in sorted(self._queue_by_rank):
+            for waiter in self._queue_by_rank[rank].waiters:
+                waiters_by_key.setdefault((rank, waiter.demand.caller), []).append(waiter)
+        return waiters_by_key
 
     def all(self) -> list[Waiter]:
         """Return all waiters."""
-        return [waiter for lane in self._lane_by_rank.values() for waiter in lane.waiters]
+        return [waiter for queue in self._queue_by_rank.values() for waiter in queue.waiters]
 
-    def last_below(self, rank: int) -> Waiter | None:
-        """Return the waiter to give up for one of ``rank``: the newest of the last rank."""
-        last = max(self._lane_by_rank, default=rank)
-        return next(reversed(self._lane_by_rank[last].waiters)) if last > rank else None
+    def last_of_worse_rank(self, rank: int) -> Waiter | None:
+        """Return the waiter to evict for one of ``rank``: the newest one of the worst rank.
+
+        ``None`` if no waiter has a worse rank.
+        """
+        worst_rank = max(self._queue_by_rank, default=rank)
+        return (
+            next(reversed(self._queue_by_rank[worst_rank].waiters)) if worst_rank > rank else None
+        )
 
     def pop_expired(self, now: float) -> Iterator[Waiter]:
-        """Take out the waiters for which a place would come too late, and return them."""
-        for lane in list(self._lane_by_rank.values()):
-            waiter = lane.first_due()
-            while waiter is not None and waiter.latest <= now:
+        """Remove and return the waiters for which a slot would come too late."""
+        for queue in list(self._queue_by_rank.values()):
+            waiter = queue.first_due()
+            while waiter is not None and waiter.latest_grant_at <= now:
                 self.discard(waiter)
                 yield waiter
-                waiter = lane.first_due()
+                waiter = queue.first_due()
 
     def in_order(self, now: float) -> Iterator[Waiter]:
-        """Return some waiters, the next one to serve first; the queue may change meanwhile.
+        """Return the first waiters in the order of service; the queue may change meanwhile.
 
-        Ranks go strictly, but for one place in ``AGED_EVERY``, which goes to an aged waiter
-        of another rank than the best: without it the last rank would wait for as long as
-        the others keep the targets busy, past its deadline.
+        Ranks are served strictly in order, except that one slot in ``AGED_INTERVAL`` goes to an
+        aged waiter of a rank other than the best. Without this exception the worst rank would wait
+        past its deadline for as long as the other ranks keep the targets busy.
         """
-        ranks = sorted(self._lane_by_rank)
-        if self._grants_since_aged >= AGED_EVERY - 1:
+        ranks = sorted(self._queue_by_rank)
+        if self._grants_since_aged >= AGED_INTERVAL - 1:
             yield from self._aged(ranks[1:], now)
         for rank in ranks:
-            lane = self._lane_by_rank.get(rank)
-            if lane is not None:
-                yield from list(islice(lane.waiters, MAX_SCANNED))
+            queue = self._queue_by_rank.get(rank)
+            if queue is not None:
+                yield from list(islice(queue.waiters, MAX_SCANNED))
 
     def _aged(self, ranks: list[int], now: float) -> list[Waiter]:
-        # The best rank is left out: when it alone is more than the targets can do, it
-        # always has waiters with earlier deadlines, and the others would starve after all.
-        due = [self._lane_by_rank[rank].first_due() for rank in ranks]
+        # The best rank is left out: if its demand alone exceeds the capacity of the targets, it
+        # always has waiters with earlier deadlines, and the other ranks would starve after all.
+        due = [self._queue_by_rank[rank].first_due() for rank in ranks]
         aged = [waiter for waiter in due if waiter is not None and waiter.aged_at <= now]
         return sorted(aged, key=lambda waiter: waiter.demand.deadline)[:1]
 
 
-def latest_start(demand: Demand, since: float, work_s: float = inf) -> float:
-    """Return until when a demand that came at ``since`` may wait for a place.
+def latest_grant(demand: Demand, queued_at: float, work_s: float = inf) -> float:
+    """Return until when a demand that was queued at ``queued_at`` may wait for a slot.
 
-    What is left then is for the target: ``work_s`` where that is less than the usual share.
+    The time after that is reserved for the target: ``work_s``, or the usual share of the time until
+    the deadline if that is less.
     """
-    span_s = demand.deadline - since
-    return demand.deadline - min((1.0 - WAITING_SHARE) * span_s, work_s)
+    span_s = demand.deadline - queued_at
+    return demand.deadline - min((1.0 - MAX_WAIT_SHARE) * span_s, work_s)
--- a/cranberrywall/routing/_retries.py
+++ b/cranberrywall/routing/_retries.py
@@ -1,34 +1,36 @@
-"""Bound retries to a share of first attempts, so that an outage breeds no storm."""
+"""Retry budget: limit retries to a share of first attempts, to avoid retry storms in outages."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 RETRY_SHARE = 0.1
-"""Retries that each first attempt pays for."""
+"""Number of retries that each first attempt adds to the budget."""
 
-MOST_SAVED = 20.0
-"""Retries that can be saved up."""
+MAX_SAVED_RETRIES = 20.0
+"""Maximum number of retries that the budget holds."""
 
-EVERY_S = 5.0
-"""One retry is allowed this often in any case, in seconds, so that little traffic can retry."""
+RETRY_INTERVAL_S = 5.0
+"""Interval at which one retry is allowed in any case, in seconds, so that retries are possible
+with little traffic."""
 
 
 class RetryLimits(NamedTuple):
-    """Bound one host's retries; the hosts' bounds add up to the fleet's.
+    """Retry limits of one host; the limits of the hosts add up to that of the fleet.
 
-    ``share`` are the retries that each first attempt pays for, ``max_saved`` those that can be
-    saved up, and one is allowed every ``interval_s`` seconds in any case. Where ``min_hosts`` is
-    above 0, the hosts share what is ``max_saved`` among them, that many at least.
+    ``share`` is the number of retries that each first attempt adds, ``max_saved`` the maximum
+    number of retries in the budget, and ``interval_s`` the interval in seconds at which one retry
+    is allowed in any case. If ``min_hosts`` is above 0, ``max_saved`` is a total that the hosts
+    divide by their number, which counts as at least ``min_hosts``.
     """
 
     share: float = RETRY_SHARE
-    max_saved: float = MOST_SAVED
-    interval_s: float = EVERY_S
+    max_saved: float = MAX_SAVED_RETRIES
+    interval_s: float = RETRY_INTERVAL_S
     min_hosts: int = 0
 
 
 class RetryBudget:
-    """Save a part of a retry with each first attempt, and spend one with each retry."""
+    """Add a fraction of a retry with each first attempt, and spend one with each retry."""
 
     def __init__(
         self,
@@ -38,19 +40,19 @@
     ) -> None:
         self._limits = limits or RetryLimits()
         self._count_hosts = count_hosts
-        self._most_hosts = self._limits.min_hosts
-        self._saved = self._most_saved() / 2
+        self._max_hosts = self._limits.min_hosts
+        self._saved = self._max_saved() / 2
         self._updated_at = now
 
-    def first_attempt(self, now: float) -> None:
-        """Pay in for one first attempt."""
+    def record_first_attempt(self, now: float) -> None:
+        """Add the share of one first attempt to the budget."""
         self._refill(now)
-        self._saved = min(self._most_saved(), self._saved + self._limits.share)
+        self._saved = min(self._max_saved(), self._saved + self._limits.share)
 
     def allows(self, now: float) -> bool:
-        """Say whether a retry may be made."""
+        """Return whether a retry may be made."""
         self._refill(now)
-        self._saved = min(self._saved, max(1.0, self._most_saved()))
+        self._saved = min(self._saved, max(1.0, self._max_saved()))
         return self._saved >= 1.0
 
     def spend(self, now: float) -> None:
@@ -59,23 +61,24 @@
         self._saved = max(0.0, self._saved - 1.0)
 
     def seconds_to_next(self, now: float) -> float:
-        """Return the seconds until a retry is allowed without any first attempt."""
+        """Return the seconds until a retry is allowed if there is no first attempt."""
         self._refill(now)
         return max(0.0, 1.0 - self._saved) * self._limits.interval_s
 
-    def _most_saved(self) -> float:
-        """Return what this host may save up.
+    def _max_saved(self) -> float:
+        """Return the maximum number of retries that this host's budget holds.
 
-        Its part never grows: in a cut, each side sees few hosts, and the parts of both sides
-        would add up to more than all may save.
+        This host's part never grows. In a network partition each side sees few hosts, and the parts
+        of both sides would add up to more than the limit of the fleet.
         """
         if not self._limits.min_hosts:
             return self._limits.max_saved
-        self._most_hosts = max(self._most_hosts, self._count_hosts())
-        return self._limits.max_saved / self._most_hosts
+        self._max_hosts = max(self._max_hosts, self._count_hosts())
+        return self._limits.max_saved / self._max_hosts
 
     def _refill(self, now: float) -> None:
-        # Only a slow trickle: what is saved while nothing runs must not pay for a storm.
+        # Refill only slowly, and only up to one retry: a budget that fills up while no request runs
+        # must not pay for a retry storm.
         elapsed = max(0.0, now - self._updated_at)
         self._updated_at = max(now, self._updated_at)
         if self._saved < 1.0:
--- a/cranberrywall/routing/_router.py
+++ b/cranberrywall/routing/_router.py
@@ -1,4 +1,4 @@
-"""Admit demands: grant a place at once, let them wait, or refuse."""
+"""Router of an entry host: grants a slot immediately, queues a demand, or refuses it."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,14 +15,14 @@
     TargetRates,
     make_standalone_rates,
 )
-from cranberrywall.routing._dispatcher import MAX_WAITING, Dispatcher
+from cranberrywall.routing._dispatcher import MAX_QUEUED, Dispatcher
 from cranberrywall.routing._distances import Distances
 from cranberrywall.routing._interfaces import Demand, Slot
 from cranberrywall.routing._pool import OnLeaving, Pool
-from cranberrywall.routing._queue import Answer, Waiter
-from cranberrywall.routing._rated import RatedAdmission
+from cranberrywall.routing._queue import AcquireResult, Waiter
 from cranberrywall.routing._retries import RetryLimits
 from cranberrywall.routing._subset import subset_of
+from cranberrywall.routing._throttled import ThrottledAdmission
 from cranberrywall.runtime import Clock, Random
 from cranberrywall.targets import (
     Announcement,
@@ -34,8 +34,8 @@
     group_of,
 )
 
-TICK_S = 0.05
-"""Deadlines in the queues are looked at this often, in seconds, while anything waits."""
+TICK_INTERVAL_S = 0.05
+"""Interval at which the deadlines of queued demands are checked, in seconds."""
 
 NO_FIRST_RANK = -1
 
@@ -48,7 +48,7 @@
     host: str = "",
     place: str = "",
     count_hosts: Callable[[], int] = lambda: 1,
-    max_waiting: int = MAX_WAITING,
+    max_waiting: int = MAX_QUEUED,
     retry_limits: RetryLimits | None = None,
     rates: TargetRates | None = None,
     backoffs: Backoffs | None = None,
@@ -56,10 +56,11 @@
 ) -> "TargetRouter":
     """Return the router of ``host`` in ``place``; it follows the changes of ``targets``.
 
-    ``count_hosts`` returns how many entry hosts are alive: they share the targets.
-    ``max_waiting`` demands wait for one model or service at most. Without ``rates`` the host stands
-    alone: what targets in need take is all its own. ``backoffs`` are this host's own.
-    ``on_leaving`` takes in which targets say in an answer that they leave.
+    ``count_hosts`` returns the number of live entry hosts, which share the targets. At most
+    ``max_waiting`` demands are queued for one model or service. Without ``rates`` the host is
+    standalone: it uses the full rate limit of each throttled target. ``backoffs`` are the backoffs
+    that targets asked this host for. ``on_leaving`` is called with each target that announces in an
+    answer that it leaves.
     """
     return TargetRouter(
         targets,
@@ -78,7 +79,7 @@
 
 
 class TargetRouter:
-    """Choose targets and hand out places at them; one for each entry host."""
+    """Choose targets and grant slots at them; one instance for each entry host."""
 
     def __init__(
         self,
@@ -98,7 +99,7 @@
         self._on_leaving = on_leaving
         self._rates = rates
         self._backoffs = backoffs
-        self._rated_by_group: dict[Group, RatedAdmission] = {}
+        self._throttled_by_group: dict[Group, ThrottledAdmission] = {}
         self._retry_limits = retry_limits
         self._max_waiting = max_waiting
         self._count_hosts = count_hosts
@@ -111,56 +112,56 @@
         self._dispatcher_by_group: dict[Group, Dispatcher] = {}
         self._in_progress_by_workspace: dict[str, int] = {}
         self._ranks_revision = -1
-        self._known_first_rank = NO_FIRST_RANK
+        self._cached_first_rank = NO_FIRST_RANK
         self._ticker: asyncio.Task[None] | None = None
         for group in targets.by_group:
             self._choose_subset(group, clock.now())
         targets.subscribe(self._on_change)
-        rates.known.subscribe(self._on_rate)
+        rates.table.subscribe(self._on_rate)
         backoffs.subscribe(self._on_backoff)
 
     async def acquire(self, demand: Demand, now: float) -> Result[Slot, Refusal]:
-        """Wait until a target has a place, or refuse; see ``Router.acquire``."""
-        refusal = self._check(demand, now)
+        """Wait until a target has a free slot, or refuse; see ``Router.acquire``."""
+        refusal = self._refusal_on_arrival(demand, now)
         if refusal is not None:
             return Err(refusal)
         dispatcher = self._dispatcher_by_group[Group(demand.kind, demand.name)]
         on_end = partial(self._end, dispatcher, demand.workspace)
-        if dispatcher.pool.limited():
-            return await self._acquire_rated(dispatcher, demand, on_end)
+        if dispatcher.pool.throttled_by_id():
+            return await self._acquire_throttled(dispatcher, demand, on_end)
         answer = dispatcher.admit(demand, on_end, now)
         if answer is None:
             self._count(demand.workspace, 1)
-            return await self._wait(dispatcher, dispatcher.wait(demand, on_end, now))
+            return await self._wait(dispatcher, dispatcher.enqueue(demand, on_end, now))
         if answer.is_ok():
             self._count(demand.workspace, 1)
         return answer
 
     async def may_send_again(self, url: str, rank: int, workspace: str) -> bool:
-        """Return whether one more call may go to a target; see ``Router``."""
+        """Return whether one more call may go to a target; see ``Router.may_send_again``."""
         target = self._targets.by_url(url)
         if target is None:
             return True
         announcement = target.announcement
-        start = TargetIncarnation(announcement.target, announcement.incarnation)
-        if self._backoffs.blocks_requests(start, self._clock.now()):
+        incarnation = TargetIncarnation(announcement.target, announcement.incarnation)
+        if self._backoffs.blocks_requests(incarnation, self._clock.now()):
             return False
-        known = self._rates.known.known(start)
-        if known.per_s is None:
+        record = self._rates.table.record_of(incarnation)
+        if record.per_s is None:
             return True
         group = group_of(announcement)
-        asked = RequestedTarget(start, known.number, known.per_s)
-        want = PermitDemand(rank, workspace, 1)
-        reply = await self._rates.permits.ask(
-            PermitRequest(group.kind, group.name, (asked,), (want,), 0.0)
+        requested = RequestedTarget(incarnation, record.number, record.per_s)
+        permit_demand = PermitDemand(rank, workspace, 1)
+        reply = await self._rates.permits.request(
+            PermitRequest(group.kind, group.name, (requested,), (permit_demand,), 0.0)
         )
         if reply is None or not reply.permits:
             return False
-        self._rates.sent_by_target[start.target] += 1
+        self._rates.sent_by_target[incarnation.target] += 1
         return True
 
     def waiting_by_model(self) -> dict[str, float]:
-        """Return how many requests wait here for each model."""
+        """Return the number of requests that are queued on this host for each model."""
         return {
             group.name: float(len(dispatcher.queue))
             for group, dispatcher in self._dispatcher_by_group.items()
@@ -168,52 +169,55 @@
         }
 
     def tick(self, now: float) -> None:
-        """Refuse waiters past their deadline and serve those who can be served."""
+        """Refuse queued demands past their deadline and serve those that can be served."""
         for group, dispatcher in self._dispatcher_by_group.items():
             dispatcher.expire(now)
             if len(dispatcher.queue):
-                self._rated_by_group[group].expire(now)
+                self._throttled_by_group[group].expire(now)
             dispatcher.dispatch(now)
 
     def targets_to_probe(self, now: float) -> list[Announcement]:
-        """Return the targets that are worth a probe."""
+        """Return the ejected and unresponsive targets that should be probed."""
         dispatchers = self._dispatcher_by_group.values()
         return [
             found for dispatcher in dispatchers for found in dispatcher.pool.targets_to_probe(now)
         ]
 
-    def record_probe(self, announcement: Announcement, well: bool, now: float) -> None:
-        """Take in what a probe of a target showed."""
-        self._dispatcher(group_of(announcement)).pool.record_probe(announcement.target, well, now)
+    def record_probe(self, announcement: Announcement, is_healthy: bool, now: float) -> None:
+        """Record the result of a probe of a target."""
+        self._dispatcher(group_of(announcement)).pool.record_probe(
+            announcement.target, is_healthy, now
+        )
 
-    async def _acquire_rated(
+    async def _acquire_throttled(
         self, dispatcher: Dispatcher, demand: Demand, on_end: Callable[[float], None]
-    ) -> Answer:
-        """Acquire while targets of the group are in need."""
-        rated = self._rated_by_group[Group(demand.kind, demand.name)]
-        # Counted before permits are asked for: others of the workspace come meanwhile.
+    ) -> AcquireResult:
+        """Acquire a slot while targets of the group are throttled."""
+        throttled_admission = self._throttled_by_group[Group(demand.kind, demand.name)]
+        # Count the request before its permit is requested: other requests of the workspace arrive
+        # meanwhile.
         self._count(demand.workspace, 1)
         try:
-            answer = await rated.admit(demand, on_end)
+            answer = await throttled_admission.admit(demand, on_end)
         except asyncio.CancelledError:
             self._count(demand.workspace, -1)
             raise
         if answer is None:
-            waiter = dispatcher.wait(demand, on_end, self._clock.now())
-            rated.seek()
+            waiter = dispatcher.enqueue(demand, on_end, self._clock.now())
+            throttled_admission.start_requesting()
             return await self._wait(dispatcher, waiter)
         if answer.is_err():
             self._count(demand.workspace, -1)
         return answer
 
-    async def _wait(self, dispatcher: Dispatcher, waiter: Waiter) -> Answer:
+    async def _wait(self, dispatcher: Dispatcher, waiter: Waiter) -> AcquireResult:
         self._start_ticker()
         try:
             answer = await waiter.future
         except asyncio.CancelledError:
-            refused = not _granted(waiter)
-            dispatcher.give_back(waiter, self._clock.now())
-            if refused:
+            was_queued = not _was_granted(waiter)
+            dispatcher.release(waiter, self._clock.now())
+            if was_queued:
                 self._count(waiter.demand.workspace, -1)
             raise
         if answer.is_err():
@@ -231,10 +235,10 @@
         else:
             del self._in_progress_by_workspace[workspace]
 
-    def _check(self, demand: Demand, now: float) -> Refusal | None:
+    def _refusal_on_arrival(self, demand: Demand, now: float) -> Refusal | None:
         if demand.deadline <= now:
             return Refusal(ErrorKind.DEADLINE_PASSED, "the deadline had passed on arrival")
-        refusal = self._check_workspace(demand) if demand.workspace else None
+        refusal = self._workspace_refusal(demand) if demand.workspace else None
         if refusal is not None:
             return refusal
         dispatcher = self._dispatcher_by_group.get(Group(demand.kind, demand.name))
@@ -242,9 +246,9 @@
             return Refusal(ErrorKind.NO_TARGET, f"no target serves {demand.name} now")
         return None
 
-    def _check_workspace(self, demand: Demand) -> Refusal | None:
+    def _workspace_refusal(self, demand: Demand) -> Refusal | None:
         workspace = self._configuration.document["workspaces"].get(demand.workspace)
-        if workspace is None or not _reaches(workspace, demand):
+        if workspace is None or not _is_in_reach(workspace, demand):
             return Refusal(
                 ErrorKind.FORBIDDEN,
                 f"workspace {demand.workspace} may not call {demand.name}",
@@ -263,23 +267,23 @@
         if revision != self._ranks_revision:
             priorities = self._configuration.document.get("priorities", {})
             ranks = {priority["rank"] for priority in priorities.values()}
-            self._known_first_rank = min(ranks) if len(ranks) > 1 else NO_FIRST_RANK
+            self._cached_first_rank = min(ranks) if len(ranks) > 1 else NO_FIRST_RANK
             self._ranks_revision = revision
-        return self._known_first_rank
+        return self._cached_first_rank
 
     def _start_ticker(self) -> None:
         if self._ticker is None or self._ticker.done():
             self._ticker = asyncio.create_task(self._tick_while_waiting())
 
     async def _tick_while_waiting(self) -> None:
-        while any(len(known.queue) for known in self._dispatcher_by_group.values()):
-            await self._clock.sleep(TICK_S)
+        while any(len(dispatcher.queue) for dispatcher in self._dispatcher_by_group.values()):
+            await self._clock.sleep(TICK_INTERVAL_S)
             self.tick(self._clock.now())
 
     def _on_change(self, announcement: Announcement, change: Change, now: float) -> None:
         group = group_of(announcement)
         if change is Change.LEFT:
-            # A target may have left from a group other than the one that it named last.
+            # The target may have changed its group since its last announcement here.
             for dispatcher in self._dispatcher_by_group.values():
                 dispatcher.pool.remove(announcement.target)
         elif change is not Change.RENEWED:
@@ -291,29 +295,29 @@
             dispatcher.pool.put(announcement, now)
         dispatcher.dispatch(now)
 
-    def _on_rate(self, start: TargetIncarnation) -> None:
-        """Serve those that wait where a target's need is over; ask for permits where it began."""
+    def _on_rate(self, incarnation: TargetIncarnation) -> None:
+        """Serve queued demands if a target is no longer throttled, else request permits."""
         now = self._clock.now()
         for group, dispatcher in self._dispatcher_by_group.items():
-            if start.target not in dispatcher.pool.candidate_by_id:
+            if incarnation.target not in dispatcher.pool.candidate_by_id:
                 continue
-            rated = self._rated_by_group[group]
-            rated.rate_changed(start, now)
+            throttled_admission = self._throttled_by_group[group]
+            throttled_admission.rate_changed(incarnation, now)
             dispatcher.dispatch(now)
-            if len(dispatcher.queue) and dispatcher.pool.limited():
-                rated.seek()
+            if len(dispatcher.queue) and dispatcher.pool.throttled_by_id():
+                throttled_admission.start_requesting()
 
-    def _on_backoff(self, start: TargetIncarnation) -> None:
-        """Refuse at once those that wait for this target alone, and for too long."""
+    def _on_backoff(self, incarnation: TargetIncarnation) -> None:
+        """Refuse queued demands that no target can serve in time any more."""
         now = self._clock.now()
         for dispatcher in self._dispatcher_by_group.values():
-            if len(dispatcher.queue) and start.target in dispatcher.pool.candidate_by_id:
-                dispatcher.refuse_hopeless(now)
+            if len(dispatcher.queue) and incarnation.target in dispatcher.pool.candidate_by_id:
+                dispatcher.refuse_late(now)
 
     def _leave_other_groups(self, target_id: str, group: Group, now: float) -> None:
-        # An engine that was ordered to load another model announces itself under that
-        # name. Left in the old model's pool it would get that model's requests, and
-        # refuse each. Those that it has in progress go on.
+        # An engine that was ordered to load another model announces itself under the name of that
+        # model. If it stayed in the old model's pool, it would get requests for that model and
+        # refuse each of them. Its requests in progress continue.
         for other, dispatcher in list(self._dispatcher_by_group.items()):
             if other != group and target_id in dispatcher.pool.candidate_by_id:
                 self._choose_subset(other, now)
@@ -322,7 +326,7 @@
         members = self._targets.by_group.get(group, {})
         announcements = [target.announcement for target in members.values()]
         subset = subset_of(self._host, announcements, self._distances.seconds_to)
-        self._dispatcher(group).pool.choose_from(subset, len(announcements), now)
+        self._dispatcher(group).pool.set_targets(subset, len(announcements), now)
 
     def _dispatcher(self, group: Group) -> Dispatcher:
         if group not in self._dispatcher_by_group:
@@ -339,7 +343,7 @@
             )
             dispatcher = Dispatcher(pool, self._random, self._first_rank, self._max_waiting)
             self._dispatcher_by_group[group] = dispatcher
-            self._rated_by_group[group] = RatedAdmission(
+            self._throttled_by_group[group] = ThrottledAdmission(
                 group, dispatcher, self._rates, self._clock
             )
         return self._dispatcher_by_group[group]
@@ -351,11 +355,11 @@
     targets.apply(announcement._replace(leaving=True), now)
 
 
-def _granted(waiter: Waiter) -> bool:
+def _was_granted(waiter: Waiter) -> bool:
     future = waiter.future
     return future.done() and not future.cancelled() and future.result().is_ok()
 
 
-def _reaches(workspace: Workspace, demand: Demand) -> bool:
+def _is_in_reach(workspace: Workspace, demand: Demand) -> bool:
     reach = workspace["reach"]
     return demand.name in reach["models" if demand.kind == "engine" else "services"]
--- a/cranberrywall/routing/_waits.py
+++ b/cranberrywall/routing/_waits.py
@@ -1,28 +1,29 @@
-"""Predict the time to the first token at a target, and learn from what was seen.
+"""Predict the time to the first token at a target, and fit the prediction to observed times.
 
-All times are seconds; prompt lengths are blocks.
+All times are in seconds; prompt lengths are in blocks.
 """
 
 from typing import NamedTuple
 
-LEARNING = 0.05
-"""Weight of one observation in the learned costs, 0 to 1."""
+COST_SMOOTHING = 0.05
+"""Weight of one observation in the estimated costs, 0 to 1."""
 
-QUANTILE = 0.35
-"""The learned costs explain this share of what is seen; the rest met a queue."""
+COST_QUANTILE = 0.35
+"""Quantile of the observed times that the estimated costs explain; the other requests met a
+queue."""
 
-HOLD_LEARNING = 0.02
-"""Weight of one observation in the mean time that a request holds its place."""
+HOLD_SMOOTHING = 0.02
+"""Weight of one observation in the mean time that a request occupies its slot."""
 
-FIRST_HOLD_S = 2.0
-"""A request is taken to hold its place this long before any was seen, in seconds."""
+INITIAL_HOLD_S = 2.0
+"""Time that a request is assumed to occupy its slot before any was observed, in seconds."""
 
 
 class Work(NamedTuple):
-    """Describe what is ahead of a request at a target, its own prompt included.
+    """Work ahead of a request at a target, including its own prompt.
 
-    ``blocks`` are prompt blocks to compute, ``share`` is requests in flight by capacity,
-    and ``excess_share`` is what of it is over capacity and waits.
+    ``blocks`` is the number of prompt blocks to compute, ``share`` the requests in flight divided
+    by the capacity, and ``excess_share`` the part of it that is over capacity and waits.
     """
 
     blocks: float
@@ -33,36 +34,35 @@
 class WaitModel:
     """Predict waits at the targets of one model or service.
 
-    The costs of a request at all, of a block and of a full batch are learned towards a low
-    quantile of what is seen: waiting in an unforeseen queue makes some observations long,
-    and a mean would take that for the cost of blocks, so that prefixes would seem worth
-    any queue.
+    The costs of a request, of a block and of a full batch are fitted to a low quantile of the
+    observed times. An unforeseen queue makes some observations long. A mean would attribute that
+    time to the blocks, so that a cached prefix would seem worth any queue.
     """
 
     def __init__(self) -> None:
-        self.hold_s = FIRST_HOLD_S
+        self.hold_s = INITIAL_HOLD_S
         self._base_s = 0.03
         self._block_s = 0.004
         self._full_s = 0.03
 
     def predict(self, work: Work) -> float:
-        """Return the seconds to the first token."""
-        started = self._base_s + self._block_s * work.blocks + self._full_s * work.share
-        return started + self.hold_s * work.excess_share
+        """Return the predicted seconds to the first token."""
+        without_queue_s = self._base_s + self._block_s * work.blocks + self._full_s * work.share
+        return without_queue_s + self.hold_s * work.excess_share
 
     def delay_to_others(self, missed_blocks: int) -> float:
-        """Return by how much computing these blocks delays what comes after, in seconds."""
+        """Return the seconds by which computing these blocks delays later requests."""
         return self._block_s * missed_blocks
 
-    def learn(self, work: Work, seconds: float) -> None:
-        """Move the costs towards what was seen, each by its part in the prediction."""
+    def update(self, work: Work, seconds: float) -> None:
+        """Move the costs towards the observed seconds, each by its part in the prediction."""
         predicted = self.predict(work)
-        move = LEARNING * (QUANTILE if seconds > predicted else QUANTILE - 1.0)
-        parts = max(predicted, 1e-6)
-        self._base_s *= 1.0 + move * self._base_s / parts
-        self._block_s *= 1.0 + move * self._block_s * work.blocks / parts
-        self._full_s *= 1.0 + move * self._full_s * work.share / parts
-
-    def learn_hold(self, seconds: float) -> None:
-        """Take in how long a request held its place."""
-        self.hold_s += HOLD_LEARNING * (seconds - self.hold_s)
+        step = COST_SMOOTHING * (COST_QUANTILE if seconds > predicted else COST_QUANTILE - 1.0)
+        total_s = max(predicted, 1e-6)
+        self._base_s *= 1.0 + step * self._base_s / total_s
+        self._block_s *= 1.0 + step * self._block_s * work.blocks / total_s
+        self._full_s *= 1.0 + step * self._full_s * work.share / total_s
+
+    def update_hold(self, seconds: float) -> None:
+        """Update the mean time that a request occupies its slot."""
+        self.hold_s += HOLD_SMOOTHING * (seconds - self.hold_s)
--- a/tests/rates/test_known.py
+++ b/tests/rates/test_known.py
@@ -1,12 +1,12 @@
-"""Hear what targets name on several hosts, in any order, and hold the same on all."""
+"""Test that several hosts that receive rates in any order end with the same rates."""
 
 from cranberrywall.rates import NO_RATE, RateNotice, RateTable
-from cranberrywall.rates._known import SETTLE_S
+from cranberrywall.rates._rate_table import SETTLE_DELAY_S
 from cranberrywall.targets import Announcement, TargetIncarnation, Targets, make_targets
 from tests.fakes.clock import ManualClock
 from tests.fakes.spread import MemorySpread
 
-START = TargetIncarnation("engine-1", 7)
+INCARNATION = TargetIncarnation("engine-1", 7)
 
 
 def announcement(incarnation: int = 7, counter: int = 1) -> Announcement:
@@ -23,16 +23,16 @@
         self.gossip = MemorySpread()
         self.rates = RateTable(name, self.targets, self.gossip, clock)
 
-    def sends(self) -> int:
-        """Return what a request that is sent now notes."""
-        return self.rates.known(START).number
+    def sent_number(self) -> int:
+        """Return the record number that a request sent now carries."""
+        return self.rates.record_of(INCARNATION).number
 
-    def hears(self, notice: RateNotice, sent: int, is_served: bool = True) -> None:
-        self.rates.record_response(START, notice, sent, is_served, "id", self.clock.now())
+    def receive_answer(self, notice: RateNotice, sent_number: int, is_served: bool = True) -> None:
+        self.rates.apply_notice(INCARNATION, notice, sent_number, is_served, "id", self.clock.now())
 
     @property
     def rate(self) -> float | None:
-        return self.rates.rate_by_incarnation.get(START)
+        return self.rates.rate_by_incarnation.get(INCARNATION)
 
 
 def fleet(size: int = 3) -> tuple[ManualClock, list[Host]]:
@@ -43,102 +43,103 @@
     return clock, hosts
 
 
-def test_all_hosts_know_what_one_heard_and_that_it_is_over():
+def test_all_hosts_have_the_rate_that_one_received_and_its_end():
     clock, hosts = fleet()
-    hosts[0].hears(RateNotice(2.5), hosts[0].sends())
+    hosts[0].receive_answer(RateNotice(2.5), hosts[0].sent_number())
     assert [host.rate for host in hosts] == [2.5, 2.5, 2.5]
     clock.step(1.0)
-    hosts[2].hears(NO_RATE, hosts[2].sends())
+    hosts[2].receive_answer(NO_RATE, hosts[2].sent_number())
     assert [host.rate for host in hosts] == [None, None, None]
     clock.step(0.2)
-    hosts[1].hears(RateNotice(1.0), hosts[1].sends())
+    hosts[1].receive_answer(RateNotice(1.0), hosts[1].sent_number())
     assert [host.rate for host in hosts] == [1.0, 1.0, 1.0]
 
 
-def test_a_slow_answer_brings_no_higher_rate_back():
-    """An engine is in need; an answer that it wrote before comes late, and hosts forget the need.
+def test_a_slow_answer_does_not_restore_a_higher_rate():
+    """A delayed answer from before an engine was throttled must not remove its rate limit.
 
-    The request was sent before its host heard of the rate, so its answer may be the older one.
+    The request was sent before its host received the rate, so its answer may be older than the
+    rate.
     """
     clock, hosts = fleet()
-    sent_before = hosts[1].sends()
-    hosts[0].hears(RateNotice(1.0), hosts[0].sends())
+    sent_before = hosts[1].sent_number()
+    hosts[0].receive_answer(RateNotice(1.0), hosts[0].sent_number())
     clock.step(3.0)
-    hosts[1].hears(NO_RATE, sent_before)
-    hosts[1].hears(RateNotice(5.0), sent_before)
+    hosts[1].receive_answer(NO_RATE, sent_before)
+    hosts[1].receive_answer(RateNotice(5.0), sent_before)
     assert [host.rate for host in hosts] == [1.0, 1.0, 1.0]
 
 
-def test_what_may_be_older_is_believed_where_it_asks_for_less():
+def test_an_answer_that_may_be_older_is_applied_if_its_rate_is_lower():
     clock, hosts = fleet()
-    sent_before = hosts[1].sends()
-    hosts[0].hears(RateNotice(5.0), hosts[0].sends())
-    hosts[1].hears(RateNotice(1.0), sent_before)
+    sent_before = hosts[1].sent_number()
+    hosts[0].receive_answer(RateNotice(5.0), hosts[0].sent_number())
+    hosts[1].receive_answer(RateNotice(1.0), sent_before)
     assert [host.rate for host in hosts] == [1.0, 1.0, 1.0]
     clock.step(0.2)
-    hosts[1].hears(RateNotice(5.0), hosts[1].sends())
+    hosts[1].receive_answer(RateNotice(5.0), hosts[1].sent_number())
     assert [host.rate for host in hosts] == [5.0, 5.0, 5.0]
 
 
-def test_of_two_changes_at_the_same_time_the_stricter_one_holds():
+def test_of_two_changes_at_the_same_time_the_stricter_one_applies():
     _, hosts = fleet()
     for host in hosts:
         host.gossip.is_cut = True
-    hosts[0].hears(RateNotice(8.0), 0)
-    hosts[1].hears(RateNotice(3.0), 0)
-    hosts[2].hears(RateNotice(5.0), 0)
+    hosts[0].receive_answer(RateNotice(8.0), 0)
+    hosts[1].receive_answer(RateNotice(3.0), 0)
+    hosts[2].receive_answer(RateNotice(5.0), 0)
     for host in hosts:
         host.gossip.mend()
     assert [host.rate for host in hosts] == [3.0, 3.0, 3.0]
 
 
-def test_an_answer_that_did_not_run_names_a_rate_and_ends_none():
+def test_an_answer_that_did_not_run_states_a_rate_and_ends_none():
     clock, (host, *_) = fleet(1)
-    host.hears(RateNotice(1.0), host.sends(), is_served=False)
+    host.receive_answer(RateNotice(1.0), host.sent_number(), is_served=False)
     assert host.rate == 1.0
     clock.step(1.0)
-    host.hears(NO_RATE, host.sends(), is_served=False)
+    host.receive_answer(NO_RATE, host.sent_number(), is_served=False)
     assert host.rate == 1.0
 
 
 def test_unreadable_values_change_nothing():
     clock, (host, *_) = fleet(1)
-    host.hears(RateNotice(1.0), host.sends())
+    host.receive_answer(RateNotice(1.0), host.sent_number())
     clock.step(1.0)
     for _ in range(100):
-        host.hears(RateNotice(None, "1,5"), host.sends())
+        host.receive_answer(RateNotice(None, "1,5"), host.sent_number())
     assert host.rate == 1.0
     assert host.rates.unreadable == 100
 
 
-def test_a_number_that_differs_with_each_answer_is_not_told_with_each():
-    """An engine names another number in each of its 200 answers a second, up and down."""
+def test_a_rate_that_differs_with_each_answer_is_not_gossiped_with_each():
+    """An engine states another number in each of its 200 answers a second, up and down."""
     clock, (host, *_) = fleet(1)
     for number in range(400):
-        host.hears(RateNotice(100.0 + 10.0 * (number % 7)), host.sends())
+        host.receive_answer(RateNotice(100.0 + 10.0 * (number % 7)), host.sent_number())
         clock.step(0.005)
-    # At most one raise, and one fall behind it, in each span in which a rate settles.
-    assert host.gossip.published <= 2 * 2.0 / SETTLE_S
+    # At most one increase, and one decrease after it, in each span in which a rate settles.
+    assert host.gossip.published <= 2 * 2.0 / SETTLE_DELAY_S
     before = host.gossip.published
     for number in range(400):
-        host.hears(RateNotice(50.0 + 0.1 * (number % 7)), host.sends())
+        host.receive_answer(RateNotice(50.0 + 0.1 * (number % 7)), host.sent_number())
         clock.step(0.005)
     assert host.gossip.published == before + 1
 
 
-def test_a_new_start_takes_no_rate_over_and_the_old_one_is_forgotten():
+def test_a_new_incarnation_has_no_rate_and_the_old_rate_is_removed():
     clock, hosts = fleet()
-    hosts[0].hears(RateNotice(1.0), hosts[0].sends())
+    hosts[0].receive_answer(RateNotice(1.0), hosts[0].sent_number())
     for host in hosts:
         host.targets.apply(announcement(8), clock.now())
         host.rates.expire(clock.now())
     assert [host.rates.rate_by_incarnation for host in hosts] == [{}, {}, {}]
 
 
-def test_a_target_that_is_silent_for_a_while_keeps_its_rate():
-    """An engine is out of sight for half a minute, and is still in need as it comes back."""
+def test_a_target_that_is_unresponsive_for_a_while_keeps_its_rate():
+    """An engine is unreachable for half a minute, and is still throttled when it returns."""
     clock, (host, *_) = fleet(1)
-    host.hears(RateNotice(1.0), host.sends())
+    host.receive_answer(RateNotice(1.0), host.sent_number())
     host.targets.discard("engine-1", clock.now())
     for _ in range(30):
         clock.step(1.0)
@@ -148,10 +149,10 @@
     assert host.rate == 1.0
 
 
-def test_a_rate_that_was_forgotten_can_be_named_again():
-    """The target was away for an hour; news of it must not look older than what was forgotten."""
+def test_a_rate_that_was_removed_can_be_announced_again():
+    """A target was away for an hour; its new rate must not look older than the removed one."""
     clock, hosts = fleet()
-    hosts[0].hears(RateNotice(1.0), hosts[0].sends())
+    hosts[0].receive_answer(RateNotice(1.0), hosts[0].sent_number())
     for host in hosts:
         host.targets.discard("engine-1", clock.now())
         host.rates.expire(clock.now())
@@ -159,13 +160,13 @@
     for host in hosts:
         host.rates.expire(clock.now())
     assert [host.rate for host in hosts] == [None, None, None]
-    hosts[1].hears(RateNotice(2.0), hosts[1].sends())
+    hosts[1].receive_answer(RateNotice(2.0), hosts[1].sent_number())
     assert [host.rate for host in hosts] == [2.0, 2.0, 2.0]
 
 
-def test_a_host_that_starts_is_told_and_the_one_that_heard_may_be_gone():
+def test_a_host_that_starts_receives_rates_also_without_the_host_that_received_them_first():
     clock, hosts = fleet()
-    hosts[0].hears(RateNotice(1.0), hosts[0].sends())
+    hosts[0].receive_answer(RateNotice(1.0), hosts[0].sent_number())
     late = Host("entry-9", clock)
     late.gossip.join([hosts[1].gossip, hosts[2].gossip])
     assert late.rate == 1.0
--- a/tests/rates/test_reading.py
+++ b/tests/rates/test_reading.py
@@ -1,4 +1,4 @@
-"""Read what targets write where they name a rate, whatever stands there."""
+"""Test the parsing of the values that targets send as a rate."""
 
 import pytest
 
@@ -17,7 +17,7 @@
     "text",
     ["", "soon", "1,5", "-1", "+1", "nan", "inf", "1e308", "1e2", "0x10", "1 2", "١", "9" * 400],
 )
-def test_what_is_no_decimal_number_is_unreadable_and_shown_in_short(text: str):
+def test_a_value_that_is_no_decimal_number_is_unreadable_and_shown_truncated(text: str):
     notice = read_rate([text])
     assert notice.per_s is None
     assert 0 < len(notice.unreadable) <= 32
--- a/tests/routing/clocks.py
+++ b/tests/routing/clocks.py
@@ -1,4 +1,4 @@
-"""Give tests a clock that they move by hand."""
+"""Clock that tests move by hand."""
 
 import asyncio
 
--- a/tests/routing/configurations.py
+++ b/tests/routing/configurations.py
@@ -1,4 +1,4 @@
-"""Make configurations for tests of routing."""
+"""Build configurations for tests of routing."""
 
 from typing import cast
 
--- a/tests/routing/demands.py
+++ b/tests/routing/demands.py
@@ -1,4 +1,4 @@
-"""Make demands for tests of routing."""
+"""Build demands for tests of routing."""
 
 from typing import Any
 
--- a/tests/routing/routers.py
+++ b/tests/routing/routers.py
@@ -1,4 +1,4 @@
-"""Make routers over targets, for tests."""
+"""Build routers over targets, for tests."""
 
 import asyncio
 import random
--- a/tests/routing/test_failures.py
+++ b/tests/routing/test_failures.py
@@ -1,4 +1,4 @@
-"""Cause the failures of targets and of overload, and check what callers meet."""
+"""Test the router under failures of targets and under overload."""
 
 import asyncio
 from collections import Counter
@@ -19,7 +19,7 @@
 async def use(
     router: TargetRouter, clock: ManualClock, failing: str = "", seconds: float = 0.1
 ) -> str:
-    """Send one request that takes ``seconds``, or fails at once at ``failing``."""
+    """Send one request that takes ``seconds``, or fails immediately at ``failing``."""
     slot = (await router.acquire(demand(deadline=clock.time + 60), clock.time)).unwrap()
     if slot.target_id == failing:
         slot.finish(FAILED, clock.time)
@@ -30,9 +30,9 @@
     return slot.target_id
 
 
-async def grant_now(router: TargetRouter, count: int, wanted: Demand, now: float) -> list[Slot]:
-    """Return the places that are granted at once to ``count`` like demands."""
-    tasks = [asyncio.create_task(router.acquire(wanted, now)) for _ in range(count)]
+async def grant_now(router: TargetRouter, count: int, requested: Demand, now: float) -> list[Slot]:
+    """Return the slots that are granted immediately to ``count`` equal demands."""
+    tasks = [asyncio.create_task(router.acquire(requested, now)) for _ in range(count)]
     await settle()
     slots = [task.result().unwrap() for task in tasks if task.done()]
     for task in tasks:
@@ -50,10 +50,10 @@
 
 
 async def test_a_target_that_answers_errors_fast_does_not_draw_the_load():
-    """Half of the clerks get errors although two of three engines are well.
+    """Half of the requests fail although two of three engines are healthy.
 
-    An engine answers 500 at once; it always has the fewest requests in flight, so that the
-    next request goes there too. Cause: failures free places and count as speed.
+    An engine that answers 500 immediately always has the fewest requests in flight, so the next
+    request goes there too. It happens if failures only free slots and count as speed.
     """
     router, _, clock = make(*(announce(name, capacity=4) for name in "abc"))
     used = Counter([await use(router, clock, failing="a") for _ in range(300)])
@@ -80,31 +80,32 @@
     assert Counter(slot.target_id for slot in slots) == {"a": 4, "b": 4}
 
 
-async def test_a_target_that_accepts_and_says_nothing_gets_no_more_work():
-    """Every third caller waits until its deadline, though engines idle.
+async def test_a_target_that_accepts_and_does_not_respond_gets_no_more_work():
+    """Every third request waits until its deadline although engines are idle.
 
-    An engine accepts connections and never answers. Its requests look as if they ran, and
-    nothing fails until the callers give up. Cause: only outcomes count as evidence.
+    An engine accepts connections and never answers. Its requests seem to run, and none fails until
+    its caller times out. It happens if only outcomes count as evidence.
     """
     router, _, clock = make(*(announce(name, capacity=50) for name in "abc"))
     await use(router, clock)
-    stuck = []
+    unresponsive_times = []
     for _ in range(200):
         clock.time += 0.1
         slot = (await router.acquire(demand(deadline=1e6), clock.time)).unwrap()
         if slot.target_id == "a":
-            stuck.append(clock.time)
+            unresponsive_times.append(clock.time)
             continue
         slot.record_first_token(clock.time + 0.05)
         slot.finish(Outcome(OutcomeKind.ANSWERED, 0.05, 10), clock.time + 0.05)
-    assert stuck and stuck[-1] - stuck[0] < 6.0
+    assert unresponsive_times and unresponsive_times[-1] - unresponsive_times[0] < 6.0
     assert [found.target for found in router.targets_to_probe(clock.time)] == ["a"]
 
 
 async def test_a_target_that_lies_about_its_load_is_found_slow():
-    """Answers from one engine take four times as long, and still it gets most requests.
+    """An engine that reports a false load gets most requests although it is slow.
 
-    The engine reports that it is idle. Cause: reports are believed over what is seen.
+    The engine always reports that it is idle, and its answers take four times as long. It happens
+    if reports count more than observed times.
     """
     router, targets, clock = make(*(announce(name, capacity=8) for name in "abc"))
     used: Counter[str] = Counter()
@@ -123,10 +124,10 @@
 
 
 async def test_a_target_that_left_gets_no_work_when_a_late_message_announces_it_again():
-    """A caller gets a connection error from an engine that was shut down in good order.
+    """A request goes to an engine that was shut down cleanly, and gets a connection error.
 
-    The engine leaves; its last renewal of before arrives afterwards by way of another
-    host. Cause: the late message is taken for a new target.
+    The engine leaves; an earlier renewal then arrives late through another host. It happens if the
+    late message is treated as a new target.
     """
     router, targets, clock = make(announce("a", counter=1), announce("b", counter=1))
     targets.apply(announce("a", counter=3, leaving=True), 1.0)
@@ -135,11 +136,11 @@
     assert {await use(router, clock) for _ in range(20)} == {"b"}
 
 
-async def test_requests_wait_while_all_targets_are_gone_and_are_served_slowly_at_first():
-    """After an outage of all engines the first one back is overrun and fails again.
+async def test_requests_wait_while_all_targets_are_removed_and_are_served_slowly_at_first():
+    """After an outage of all engines the first one that returns is overloaded and fails again.
 
-    Requests that wait, and those refused meanwhile, all arrive as soon as one target is
-    announced. Cause: a target that just came back is given its full share at once.
+    Queued requests, and the retries of those that were refused, all arrive as soon as one target is
+    announced. It happens if a returning target gets its full share immediately.
     """
     router, targets, clock = make(announce("a", capacity=10))
     slots = [(await router.acquire(demand(), 0.0)).unwrap() for _ in range(10)]
@@ -164,11 +165,11 @@
         task.cancel()
 
 
-async def test_an_outage_breeds_no_storm_of_retries():
+async def test_an_outage_causes_no_storm_of_retries():
     """After a short fault the engines stay overloaded for minutes.
 
-    Each of 500 requests fails once and is tried again at the same moment. Cause: retries
-    that are bounded for each request only, not in all.
+    Each of 500 requests fails once and is retried at the same moment. It happens if retries are
+    limited for each request only, not in total.
     """
     router, _, clock = make(*(announce(name, capacity=400) for name in "abc"))
     first = [(await router.acquire(demand(), 0.0)).unwrap() for _ in range(500)]
@@ -182,10 +183,10 @@
     assert min(waits) > 0.0 and len({round(wait, 3) for wait in waits}) > 50
 
 
-async def test_a_place_that_is_cut_off_is_used_again_when_it_is_back():
-    """One place is cut off for a minute; callers elsewhere get errors, or never see it again.
+async def test_an_unreachable_place_is_used_again_when_it_is_reachable():
+    """One place is unreachable for a minute; its targets must be used again afterwards.
 
-    Renewals of its targets stop coming and then come again, with counters far ahead.
+    Renewals of its targets stop arriving and then arrive again with much higher counters.
     """
     near, far = announce("near", place="kranj"), announce("far", place="domzale")
     router, targets, clock = make(near, far)
@@ -200,11 +201,11 @@
     assert {await use(router, clock, seconds=1.0) for _ in range(40)} == {"near", "far"}
 
 
-async def test_a_restarted_target_starts_with_a_clean_slate():
-    """A repaired engine gets no work for minutes after its restart.
+async def test_a_restarted_target_does_not_inherit_the_health_of_its_previous_incarnation():
+    """A repaired engine gets no requests for minutes after its restart.
 
-    It failed until it was restarted; it announces itself with a lower counter and a higher
-    incarnation. Cause: the judgement of the earlier run sticks to the name.
+    The engine failed until it was restarted; it announces itself with a lower counter and a higher
+    incarnation. It happens if the health of the previous incarnation is kept for the name.
     """
     router, targets, clock = make(announce("a", counter=90), announce("b", counter=90))
     await fail_until_ejected(router, clock)
@@ -214,10 +215,10 @@
 
 
 async def test_late_load_reports_do_not_send_a_burst_to_one_target():
-    """Engines take turns at being overrun, although on average there is room.
+    """Engines are overloaded in turn although they have enough capacity on average.
 
-    Reports are 5 s late: the engine that was idle then gets all requests of now. Cause:
-    this host's own requests since the report are not counted.
+    Load reports are 5 s late, so the engine that was idle then gets all current requests. It
+    happens if a host does not count its own requests since the report.
     """
     router, targets, clock = make(*(announce(name, capacity=20) for name in "abc"))
     clock.time = 10.0
@@ -229,11 +230,11 @@
     assert used["a"] <= 14 and min(used.values()) >= 3
 
 
-def test_the_prefix_index_forgets_what_lost_drop_events_did_not_tell():
-    """Prompts are sent to an engine that dropped them long ago, past idle engines.
+def test_the_prefix_index_expires_entries_whose_drop_events_were_lost():
+    """Prompts are sent to an engine that dropped them long ago, although others are idle.
 
-    Half of the events are lost, so that some drops are never heard. Cause: an entry is
-    believed until its own drop event comes.
+    Half of the events are lost, including some drop events. It happens if an entry stays until its
+    own drop event arrives.
     """
     index = PrefixIndex()
     index.put("a", 1)
@@ -244,8 +245,8 @@
             old = (number - 30).to_bytes(8, "big")
             index.apply("a", [CacheEvent(2 * number + 1, "drop", old)], 0.0, float(number))
     blocks = [number.to_bytes(8, "big") for number in range(4000)]
-    believed = [n for n in range(4000) if index.matches([blocks[n]], 4000.0)]
-    assert min(believed) > 3900 and len(believed) >= 20
+    matched = [n for n in range(4000) if index.matches([blocks[n]], 4000.0)]
+    assert min(matched) > 3900 and len(matched) >= 20
 
 
 def test_the_prefix_index_stays_within_its_bound():
@@ -266,7 +267,7 @@
     assert index.matches(PREFIX, 1.0) == {}
 
 
-async def test_what_cannot_be_served_in_time_is_refused_at_once_with_a_time_to_come_back():
+async def test_a_demand_that_cannot_be_served_in_time_is_refused_immediately_with_a_retry_time():
     router, _, clock = make(announce("a", capacity=1))
     for _ in range(50):
         await use(router, clock, seconds=2.0)
@@ -282,22 +283,22 @@
         task.cancel()
 
 
-async def test_a_full_queue_gives_up_the_newest_letter_for_a_status_lookup():
+async def test_a_full_queue_evicts_the_newest_demand_of_the_worst_rank_for_a_better_one():
     router, _, _ = make(announce("a", capacity=1), queue_bound=2)
     await router.acquire(demand(), 0.0)
-    letters = [asyncio.create_task(router.acquire(demand(rank=5), 0.0)) for _ in range(2)]
+    low_rank = [asyncio.create_task(router.acquire(demand(rank=5), 0.0)) for _ in range(2)]
     await settle()
     third = await router.acquire(demand(rank=5), 0.0)
     assert third.unwrap_err().kind is ErrorKind.OVERLOADED
-    status = asyncio.create_task(router.acquire(demand(rank=0), 0.0))
+    first_rank = asyncio.create_task(router.acquire(demand(rank=0), 0.0))
     await settle()
-    assert letters[1].result().unwrap_err().kind is ErrorKind.OVERLOADED
-    assert not letters[0].done() and not status.done()
-    status.cancel()
-    letters[0].cancel()
+    assert low_rank[1].result().unwrap_err().kind is ErrorKind.OVERLOADED
+    assert not low_rank[0].done() and not first_rank.done()
+    first_rank.cancel()
+    low_rank[0].cancel()
 
 
-async def test_a_workspace_is_bounded_in_number_and_its_places_come_back():
+async def test_a_workspace_is_limited_in_concurrent_requests_and_its_slots_are_released():
     router, _, _ = make(announce("a", capacity=8), concurrent=2)
     slots = [(await router.acquire(demand(), 0.0)).unwrap() for _ in range(2)]
     third = await router.acquire(demand(), 0.0)
@@ -318,26 +319,26 @@
         slot.finish(ANSWERED, clock.time)
     tasks = [asyncio.create_task(router.acquire(demand(), clock.time)) for _ in range(20)]
     await settle()
-    room = sum(task.done() for task in tasks)
-    assert room == 16 if not reported else 1 <= room <= 6
+    capacity = sum(task.done() for task in tasks)
+    assert capacity == 16 if not reported else 1 <= capacity <= 6
     for task in tasks:
         task.cancel()
 
 
 async def test_an_engine_that_changed_its_model_gets_no_request_for_the_old_one():
-    """Clerks get "this engine serves drafting-llm" for requests to another model.
+    """An engine that was ordered to load another model gets requests for the old one.
 
-    An engine is ordered to load another model and announces itself under that name, in the
-    same run. Cause: it stays in the old model's pool until it leaves. A request that it
-    had in progress goes on and frees its place.
+    It announces itself under the new name in the same incarnation. It happens if the engine stays
+    in the old model's pool until it leaves. A request that is in progress there continues and
+    releases its slot.
     """
     router, targets, clock = make(announce("a", capacity=1), announce("b", capacity=1))
     in_progress = await grant_now(router, 2, demand(), clock.time)
     targets.apply(announce("a", counter=2, capacity=1, name="drafting-llm"), clock.time)
     for slot in in_progress:
         slot.finish(ANSWERED, clock.time)
-    again = await grant_now(router, 2, demand(), clock.time)
-    assert [slot.target_id for slot in again] == ["b"]
+    second = await grant_now(router, 2, demand(), clock.time)
+    assert [slot.target_id for slot in second] == ["b"]
     assert set(targets.by_group) == {Group("engine", "asistent"), Group("engine", "drafting-llm")}
     targets.apply(announce("a", counter=3, capacity=1), clock.time)
     assert [slot.target_id for slot in await grant_now(router, 2, demand(), clock.time)] == ["a"]
--- a/tests/routing/test_homes.py
+++ b/tests/routing/test_homes.py
@@ -1,4 +1,4 @@
-"""Check that hosts send prompts that share a beginning to the same target."""
+"""Test that all hosts send prompts that share a beginning to the same target."""
 
 import random
 from collections import Counter
@@ -12,12 +12,12 @@
 
 TARGETS = tuple(announce(f"e{number}", capacity=4) for number in range(8))
 HOSTS = 12
-LEASE_CLAUSES = bytes(range(16))
-BLOCKS = (b"first-block-hash", b"second-block-hsh", LEASE_CLAUSES)
+SHARED_PREFIX_HASH = bytes(range(16))
+BLOCKS = (b"first-block-hash", b"second-block-hsh", SHARED_PREFIX_HASH)
 
 
-def host(number: int, *announcements: Announcement) -> TargetRouter:
-    """Return the router of one of several hosts; each draws in its own order."""
+def make_host_router(number: int, *announcements: Announcement) -> TargetRouter:
+    """Return the router of one of several hosts; each host has its own random numbers."""
     targets = make_targets()
     for announcement in announcements:
         targets.apply(announcement, 0.0)
@@ -29,26 +29,26 @@
 
 
 def shared_prompt(exclude: frozenset[str] = frozenset()) -> Demand:
-    return demand(prefix_hashes=BLOCKS, affinity_hash=LEASE_CLAUSES, exclude=exclude)
+    return demand(prefix_hashes=BLOCKS, affinity_hash=SHARED_PREFIX_HASH, exclude=exclude)
 
 
-async def test_hosts_that_never_met_send_a_shared_prompt_to_one_target():
-    """Lessors wait while each target reads the same lease clauses anew.
+async def test_hosts_without_contact_send_a_shared_prompt_to_one_target():
+    """Callers wait while each target processes the same shared prompt again.
 
-    Sixty hosts each see a set of clauses a few times in an hour. Cause: a host learns who has
-    a prompt only from its own requests, so each host chose another target for it.
+    Many hosts each receive the prompt rarely. It happens if a host finds out only from its own
+    requests which target has a prompt cached, so that each host chooses another target.
     """
     chosen = Counter[str]()
     for number in range(HOSTS):
-        slot = (await host(number, *TARGETS).acquire(shared_prompt(), 0.0)).unwrap()
+        slot = (await make_host_router(number, *TARGETS).acquire(shared_prompt(), 0.0)).unwrap()
         chosen[slot.target_id] += 1
     assert len(chosen) == 1
 
 
-async def test_hosts_agree_on_the_next_target_where_the_first_was_tried():
-    first = (await host(0, *TARGETS).acquire(shared_prompt(), 0.0)).unwrap().target_id
+async def test_hosts_agree_on_the_next_target_when_the_first_was_tried():
+    first = (await make_host_router(0, *TARGETS).acquire(shared_prompt(), 0.0)).unwrap().target_id
     others = {
-        (await host(number, *TARGETS).acquire(shared_prompt(frozenset({first})), 0.0))
+        (await make_host_router(number, *TARGETS).acquire(shared_prompt(frozenset({first})), 0.0))
         .unwrap()
         .target_id
         for number in range(HOSTS)
@@ -56,25 +56,25 @@
     assert len(others) == 1 and first not in others
 
 
-async def test_a_full_home_passes_its_prompts_on():
-    """A much used set of clauses queues at one target while the next ones idle.
+async def test_a_full_affinity_target_passes_its_prompts_on():
+    """Requests with a popular prompt queue at one target while the next targets are idle.
 
-    Cause: a shared beginning weighed more than a full target, which reads nothing sooner.
+    It happens if a shared beginning outweighs the load of a full target.
     """
-    router = host(0, *TARGETS)
+    router = make_host_router(0, *TARGETS)
     chosen = Counter[str]()
     for _ in range(12):
         chosen[(await router.acquire(shared_prompt(), 0.0)).unwrap().target_id] += 1
     assert len(chosen) > 1 and max(chosen.values()) <= 4
 
 
-async def test_what_a_target_says_of_its_load_keeps_other_prompts_away():
-    """A host sends more work to a target that other hosts already filled.
+async def test_the_load_that_a_target_reports_keeps_other_prompts_away():
+    """A host sends more requests to a target that other hosts have already filled.
 
-    Its announcements are a second old. Cause: the load that came with the target's own
-    answer was not looked at.
+    The announcements of the target are a second old. It happens if the load that the target stated
+    in an answer is ignored.
     """
-    router = host(0, announce("a", capacity=4), announce("b", capacity=4))
+    router = make_host_router(0, announce("a", capacity=4), announce("b", capacity=4))
     by_target = {}
     for _ in range(2):
         slot = (await router.acquire(demand(), 0.0)).unwrap()
--- a/tests/routing/test_rated.py
+++ b/tests/routing/test_rated.py
@@ -1,4 +1,4 @@
-"""Choose targets and let demands wait while targets name the requests a second that they take."""
+"""Test the choice of targets and the queue while targets state limits of requests per second."""
 
 import asyncio
 import random
@@ -17,18 +17,18 @@
 
 
 class World:
-    """Hold one host's router before some targets of one service."""
+    """The router of one host, with some targets of one service."""
 
     def __init__(self, targets: int, concurrent: int = 1000) -> None:
         self.clock = VirtualClock()
         self.targets = make_targets()
-        numbers = random.Random(1)
-        self.rates = make_standalone_rates(self.targets, self.clock, numbers)
+        random_source = random.Random(1)
+        self.rates = make_standalone_rates(self.targets, self.clock, random_source)
         self.router: TargetRouter = make_router(
             self.targets,
             FixedConfiguration(concurrent),
             self.clock,
-            numbers,
+            random_source,
             "entry-1",
             "kranj",
             rates=self.rates,
@@ -41,25 +41,25 @@
 
     async def acquire(self, deadline_s: float = 2.0, **fields: Any) -> Ok[Slot] | Err[Any]:
         now = self.clock.now()
-        asked = demand(kind="service", name="vratar", deadline=now + deadline_s, **fields)
-        return await self.router.acquire(asked, now)
+        requests = demand(kind="service", name="vratar", deadline=now + deadline_s, **fields)
+        return await self.router.acquire(requests, now)
 
     async def answer(self, notice: RateNotice, **fields: Any) -> str:
-        """Serve one request, whose answer names a rate; return its target."""
+        """Serve one request whose answer states a rate limit; return its target."""
         slot = (await self.acquire(**fields)).unwrap()
         slot.record_rate(notice, True, "id", self.clock.now())
         slot.finish(ANSWERED, self.clock.now())
         return slot.target_id
 
 
-def test_a_demand_that_tried_the_only_target_waits_without_asking_on_and_on():
-    """A call failed at the only target, which is in need; its retry waits for another target.
+def test_a_demand_that_tried_the_only_target_waits_without_repeated_permit_requests():
+    """A request failed at the only target, which is throttled; its retry waits for another one.
 
-    Permits for that target would come and go back as fast as the host can ask, and nothing else
-    would run on it.
+    Permits for that target would be issued and returned as fast as the host can request them, and
+    no other task of the host would run.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         world = World(1)
         await world.answer(RateNotice(50.0))
         waiting = asyncio.create_task(
@@ -69,38 +69,38 @@
         assert world.rates.permits.counts["asked"] <= 20
         waiting.cancel()
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_target_that_takes_more_is_asked_for_at_once():
-    """A target took one request in ten seconds, and takes fifty a second by now.
+def test_a_target_whose_rate_rises_gets_requests_immediately():
+    """A target accepted one request in ten seconds, and now accepts fifty a second.
 
-    The pause that was told before would keep this host away from it for seconds.
+    A pause from an earlier reply would keep this host away from it for seconds.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         world = World(2)
         for _ in range(20):
             slot = (await world.acquire(workspace="")).unwrap()
-            in_need = slot.target_id == "vratar-0"
-            slot.record_rate(RateNotice(0.05) if in_need else NO_RATE, True, "id", 0.0)
+            is_throttled = slot.target_id == "vratar-0"
+            slot.record_rate(RateNotice(0.05) if is_throttled else NO_RATE, True, "id", 0.0)
             slot.finish(ANSWERED, world.clock.now())
         for _ in range(40):
-            await _target(world)
-        start = next(iter(world.rates.known.rate_by_incarnation))
-        number = world.rates.known.known(start).number
+            await _serve_one(world)
+        incarnation = next(iter(world.rates.table.rate_by_incarnation))
+        number = world.rates.table.record_of(incarnation).number
         await asyncio.sleep(1.0)
-        world.rates.known.record_response(
-            start, RateNotice(50.0), number, True, "id", world.clock.now()
+        world.rates.table.apply_notice(
+            incarnation, RateNotice(50.0), number, True, "id", world.clock.now()
         )
         await asyncio.sleep(1.0)
-        chosen = [await _target(world) for _ in range(40)]
-        assert chosen.count(start.target) >= 8
+        chosen = [await _serve_one(world) for _ in range(40)]
+        assert chosen.count(incarnation.target) >= 8
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-async def _target(world: World) -> str:
+async def _serve_one(world: World) -> str:
     slot = (await world.acquire(workspace="")).unwrap()
     slot.finish(ANSWERED, world.clock.now())
     await asyncio.sleep(0.02)
@@ -108,72 +108,74 @@
 
 
 def test_the_number_of_a_workspace_holds_while_its_requests_wait_for_permits():
-    """A workspace may have two requests at once; four come in the same moment.
+    """A workspace may have two concurrent requests; four arrive at the same moment.
 
-    Each asks for a permit first. Counted only after that, all four would be let in.
+    Each of them requests a permit first. If they were counted only after that, all four would be
+    admitted.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         world = World(1, concurrent=2)
         await world.answer(RateNotice(1.0))
-        asked = [asyncio.create_task(world.acquire(4.0)) for _ in range(4)]
-        answers = await asyncio.gather(*asked)
-        kinds = [str(one.err_value.kind) for one in answers if isinstance(one, Err)]
+        requests = [asyncio.create_task(world.acquire(4.0)) for _ in range(4)]
+        answers = await asyncio.gather(*requests)
+        kinds = [str(answer.err_value.kind) for answer in answers if isinstance(answer, Err)]
         assert kinds.count("too_many_requests") == 2
         for answer in answers:
             if isinstance(answer, Ok):
                 answer.ok_value.finish(ANSWERED, world.clock.now())
         assert (await world.acquire(4.0)).is_ok()
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_what_waits_is_served_as_soon_as_the_need_is_over():
-    async def story() -> None:
+def test_queued_requests_are_served_as_soon_as_throttling_ends():
+    async def scenario() -> None:
         world = World(1)
         await world.answer(RateNotice(0.2))
         waiting = [asyncio.create_task(world.acquire(60.0)) for _ in range(5)]
         await asyncio.sleep(6.0)
-        served = [one for one in waiting if one.done()]
+        served = [task for task in waiting if task.done()]
         assert len(served) == 1
         slot = served[0].result().unwrap()
         slot.record_rate(NO_RATE, True, "id", world.clock.now())
         await asyncio.sleep(0.1)
-        assert all(one.done() for one in waiting)
+        assert all(task.done() for task in waiting)
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_where_all_are_in_need_but_have_permits_left_the_best_one_is_chosen():
-    """All four targets take fifty requests a second, far more than come.
+def test_the_best_target_is_chosen_when_all_are_throttled_but_have_permits_left():
+    """All four targets accept fifty requests a second, far more than arrive.
 
-    Given out in any order, nearly all requests went to the target that was asked for first.
+    If permits are issued in a fixed order, nearly all requests go to the first target of the
+    request for permits.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         world = World(4)
-        while len(world.rates.known.rate_by_incarnation) < 4:
+        while len(world.rates.table.rate_by_incarnation) < 4:
             await world.answer(RateNotice(50.0), workspace="")
             await asyncio.sleep(0.05)
-        chosen = [await _target(world) for _ in range(100)]
+        chosen = [await _serve_one(world) for _ in range(100)]
         assert all(chosen.count(f"vratar-{number}") >= 10 for number in range(4))
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
 def test_a_permit_does_not_end_the_backoff_of_its_target():
-    """A target that named a rate gets requests by permits during its backoff."""
+    """A throttled target must get no requests by permits during its backoff."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         world = World(2)
-        while len(world.rates.known.rate_by_incarnation) < 2:
+        while len(world.rates.table.rate_by_incarnation) < 2:
             await world.answer(RateNotice(200.0), workspace="")
             await asyncio.sleep(0.05)
         slot = (await world.acquire(workspace="")).unwrap()
         slot.record_backoff(DecimalField(3.0), "id", world.clock.now())
         slot.finish(Outcome(OutcomeKind.FAILED_AFTER), world.clock.now())
-        chosen = {await _target(world) for _ in range(100)}
+        chosen = {await _serve_one(world) for _ in range(100)}
         assert len(chosen) == 1
         assert slot.target_id not in chosen
 
-    run_virtual(story())
+    run_virtual(scenario())
--- a/tests/routing/test_retry_parts.py
+++ b/tests/routing/test_retry_parts.py
@@ -1,4 +1,4 @@
-"""Check that the retries of all hosts keep to the fleet's bound together."""
+"""Test that the retries of all hosts together keep to the limit of the fleet."""
 
 from cranberrywall.routing import RetryLimits
 from cranberrywall.routing._retries import RetryBudget
@@ -8,7 +8,7 @@
 
 
 def spend_all(budgets: list[RetryBudget], now: float) -> int:
-    """Retry at each host for as long as it allows it; gives the sum."""
+    """Retry at each host for as long as its budget allows; return the number of retries."""
     spent = 0
     for budget in budgets:
         while budget.allows(now):
@@ -18,36 +18,42 @@
 
 
 def test_the_parts_of_many_hosts_add_up_to_the_bound() -> None:
-    """All targets fail at once, and each of 58 hosts retries what it has saved up.
+    """All targets fail at the same time, and each of 58 hosts spends its whole retry budget.
 
-    Together they retried six times what the fleet may: each took a tenth of it.
+    If each host may save a tenth of the fleet's limit, they retry six times that limit together.
     """
     budgets = [RetryBudget(0.0, LIMITS, lambda: 58) for _ in range(58)]
     for budget in budgets:
         for _ in range(500):
-            budget.first_attempt(1.0)
+            budget.record_first_attempt(1.0)
     assert 0.5 * SLACK <= spend_all(budgets, 2.0) <= SLACK
 
 
 def test_a_part_does_not_grow_where_fewer_hosts_are_seen() -> None:
-    """The fleet is cut into halves, and each host sees half of the others."""
+    """In a network partition into halves each host sees half of the other hosts.
+
+    The budgets of both sides must not add up to more than the limit of the fleet.
+    """
     seen = [58]
     budgets = [RetryBudget(0.0, LIMITS, lambda: seen[0]) for _ in range(58)]
     for budget in budgets:
-        budget.first_attempt(0.5)
+        budget.record_first_attempt(0.5)
     seen[0] = 29
     for budget in budgets:
         for _ in range(500):
-            budget.first_attempt(1.0)
+            budget.record_first_attempt(1.0)
     assert spend_all(budgets, 2.0) <= SLACK
 
 
 def test_a_part_that_shrinks_is_not_spent_as_it_was() -> None:
-    """A host hears of the others only after it has saved up a tenth."""
+    """A host discovers the other hosts only after it has saved a tenth of the fleet's limit.
+
+    It must not spend more than its share of the limit from then on.
+    """
     seen = [1]
     budgets = [RetryBudget(0.0, LIMITS, lambda: seen[0]) for _ in range(58)]
     for budget in budgets:
         for _ in range(500):
-            budget.first_attempt(1.0)
+            budget.record_first_attempt(1.0)
     seen[0] = 58
     assert spend_all(budgets, 2.0) <= SLACK
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""Check how demands are granted, made to wait and refused."""
+"""Test how demands are granted, queued and refused."""
 
 import asyncio
 
@@ -14,27 +14,27 @@
     assert sorted(slot.target_id for slot in slots) == ["a", "a", "b", "b"]
 
 
-async def test_a_waiter_gets_the_place_that_becomes_free_and_the_first_rank_goes_first():
+async def test_a_waiter_gets_the_slot_that_becomes_free_and_the_first_rank_goes_first():
     router, _, _ = make(announce("a", capacity=1))
     slot = (await router.acquire(demand(), 0.0)).unwrap()
-    letter = asyncio.create_task(router.acquire(demand(rank=9), 0.0))
+    last_rank = asyncio.create_task(router.acquire(demand(rank=9), 0.0))
     await settle()
-    status = asyncio.create_task(router.acquire(demand(rank=0), 0.0))
+    first_rank = asyncio.create_task(router.acquire(demand(rank=0), 0.0))
     await settle()
     slot.finish(ANSWERED, 1.0)
     slot.finish(ANSWERED, 1.0)
     await settle()
-    assert status.done() and not letter.done()
-    status.result().unwrap().finish(ANSWERED, 2.0)
+    assert first_rank.done() and not last_rank.done()
+    first_rank.result().unwrap().finish(ANSWERED, 2.0)
     await settle()
-    assert letter.result().is_ok()
+    assert last_rank.result().is_ok()
 
 
-async def test_a_cancelled_waiter_frees_its_place_also_when_it_was_just_granted():
-    """An engine seems busy for ever after clerks closed their windows.
+async def test_a_cancelled_waiter_frees_its_slot_also_when_it_was_just_granted():
+    """An engine appears busy forever after callers disconnect.
 
-    The caller goes away in the same moment as its place is granted. Cause: the slot was
-    given to a task that is being cancelled and never finishes it.
+    A caller disconnects at the moment when its slot is granted. It happens if the slot goes to a
+    task that is being cancelled and never finishes it.
     """
     router, _, _ = make(announce("a", capacity=1))
     slot = (await router.acquire(demand(), 0.0)).unwrap()
@@ -90,8 +90,8 @@
     assert kinds == [ErrorKind.NO_TARGET] * 2 + [ErrorKind.FORBIDDEN] * 2
 
 
-async def test_a_waiter_is_refused_while_its_caller_can_still_ask_elsewhere():
-    """A request gets its place at its deadline, and its answer comes after that."""
+async def test_a_waiter_is_refused_while_its_caller_can_still_retry_elsewhere():
+    """A request gets its slot just before its deadline, and its answer comes too late."""
     router, _, _ = make(announce("a", capacity=1))
     await router.acquire(demand(), 0.0)
     waiting = asyncio.create_task(router.acquire(demand(deadline=10.0), 0.0))
@@ -106,8 +106,8 @@
     assert refusal.retry_after
 
 
-async def test_a_demand_whose_place_would_come_at_its_deadline_is_refused_at_once():
-    """Requests wait for places in which they can't be answered any more."""
+async def test_a_demand_whose_slot_would_come_at_its_deadline_is_refused_immediately():
+    """Requests wait for slots that come too late for an answer."""
     router, _, _ = make(announce("a", capacity=1))
     await router.acquire(demand(), 0.0)
     answer = await asyncio.wait_for(router.acquire(demand(deadline=2.1), 0.0), 0.05)
