--- a/cranberrywall/budgets/_allotment.py
+++ b/cranberrywall/budgets/_allotment.py
@@ -1,7 +1,7 @@
-"""Hold one budget's money on one host.
+"""Account for the money that one host holds of one budget.
 
-Only the event loop's thread touches an allotment, and no method here waits: each step
-is whole before the next begins, so there is one writer and no lock.
+Only the event loop's thread uses an allotment, and no method here awaits. Each step therefore
+completes before the next one starts: there is one writer, and no lock is needed.
 """
 
 from collections.abc import Callable, Iterator
@@ -17,19 +17,19 @@
 
 
 class ReservationQueue(Protocol):
-    """Wait in line for an allotment that is short."""
+    """Queue of reservations that wait for an allotment with an insufficient balance."""
 
     def serve(self) -> None:
-        """Hold money for those in line whom the allotment covers now."""
+        """Reserve money for the queued requests that the allotment now covers."""
         ...
 
     def shortfall(self) -> int:
-        """Return the least amount that would serve one more of those in line; 0 for nobody."""
+        """Return the smallest amount that would serve one more queued request; 0 if none waits."""
         ...
 
 
-class Numbers(NamedTuple):
-    """Hold the next number of each kind of step that a holder takes for a budget."""
+class StepNumbers(NamedTuple):
+    """Next sequence number of each kind of step that a holder takes for a budget."""
 
     charge: int = 1
     draw: int = 1
@@ -39,13 +39,13 @@
 
 
 class Allotment:
-    """Account for what this host holds of a budget.
+    """Account of what this host holds of a budget.
 
-    ``spendable`` may be reserved, ``reserved`` is held by requests in progress and
-    ``charging`` is settled but not yet committed; the ledger books all three to us.
-    ``version`` changes whenever their sum does. Until ``checked_until`` the ledger
-    may book more to us than we know of. ``on_surplus`` is set while nothing should be
-    held, and called as money comes free.
+    ``spendable`` may be reserved, ``reserved`` is held by requests in progress, and ``charging``
+    is settled but not yet committed. The ledger books all three to this host. ``version`` changes
+    whenever their sum changes. Until ``checked_until`` the ledger may book more to this host than
+    the host has recorded. ``on_surplus`` is set while the host should hold nothing, and is called
+    when money becomes spendable.
     """
 
     __slots__ = (
@@ -53,7 +53,7 @@
         "charging",
         "demand",
         "checked_until",
-        "low",
+        "low_watermark",
         "next_accept",
         "next_charge",
         "next_draw",
@@ -66,14 +66,14 @@
         "policy",
         "queue",
         "reserved",
-        "scarce",
+        "reservation_queue",
         "settled_bounds",
         "settled_count",
         "settled_since_review",
         "spendable",
         "total_demand",
-        "transfers_under_way",
-        "unseen",
+        "transfers_in_flight",
+        "unreported_spend",
         "used_at",
         "used_since_view",
         "version",
@@ -91,7 +91,7 @@
         self.spendable = 0
         self.reserved = 0
         self.charging = 0
-        self.low = 0
+        self.low_watermark = 0
         self.next_draw = 1
         self.next_return = 1
         self.next_charge = 1
@@ -105,11 +105,11 @@
         self.settled_since_review = 0
         self.settled_bounds = 0
         self.settled_count = 0
-        self.scarce: ReservationQueue | None = None
+        self.reservation_queue: ReservationQueue | None = None
         self.used_at = now
         self.used_since_view = False
-        self.transfers_under_way = 0
-        self.unseen = UnreportedSpend()
+        self.transfers_in_flight = 0
+        self.unreported_spend = UnreportedSpend()
         self.checked_until = float("-inf")
         self.version = 0
         self.on_low: Callable[[], None] | None = None
@@ -117,11 +117,11 @@
 
     @property
     def usable(self) -> int:
-        """Return what may be reserved or given now; less than is held where no one sees it."""
+        """Return what may be reserved or given now; bounded while the ledger is out of reach."""
         return max(0, min(self.spendable, self._usable(0.0, 0)))
 
     def usable_within(self, seconds: float) -> int:
-        """Return what may be usable by then, if what is reserved comes free unused."""
+        """Return the amount usable in ``seconds`` if all that is reserved is released unused."""
         held = self.spendable + self.reserved
         return max(0, min(held, self._usable(seconds, self.reserved)))
 
@@ -129,55 +129,61 @@
         queue = self.queue
         if queue.in_reach:
             return self.spendable + freed
-        self.unseen.renew(queue.reach)
-        left = self.unseen.left(self._held, queue.reach.unreported_share(later_s))
-        # Charges that wait to be kept, and what is reserved, will need their part of it.
-        return left - (self.charging - self.unseen.kept) - self.reserved + freed
+        self.unreported_spend.reset_outdated(queue.reach)
+        remaining = self.unreported_spend.remaining(
+            self._held, queue.reach.unreported_share(later_s)
+        )
+        # Charges that wait to be replicated, and reserved amounts, will need their part of the
+        # bound.
+        return remaining - (self.charging - self.unreported_spend.kept) - self.reserved + freed
 
     @property
     def _held(self) -> int:
         return self.spendable + self.reserved
 
-    def try_keep_unseen(self, amount: int) -> bool:
-        """Count a charge as kept out of the ledger's sight, where its bound allows that now."""
-        if not self._may_be_unseen(amount):
+    def try_persist_unreported(self, amount: int) -> bool:
+        """Count a charge as spent without the ledger, if the bound allows that now."""
+        if not self._fits_unreported_bound(amount):
             return False
-        self.unseen.kept += amount
-        self.queue.reach.note_unseen()
+        self.unreported_spend.kept += amount
+        self.queue.reach.record_unreported()
         return True
 
-    def try_give_unseen(self, amount: int) -> bool:
-        """Count a transfer as given out of the ledger's sight, where its bound allows that now."""
-        if not self._may_be_unseen(amount):
+    def try_give_unreported(self, amount: int) -> bool:
+        """Count a transfer as given without the ledger, if the bound allows that now."""
+        if not self._fits_unreported_bound(amount):
             return False
-        self.unseen.given += amount
-        self.queue.reach.note_unseen()
+        self.unreported_spend.given += amount
+        self.queue.reach.record_unreported()
         return True
 
-    def _may_be_unseen(self, amount: int) -> bool:
+    def _fits_unreported_bound(self, amount: int) -> bool:
         reach = self.queue.reach
-        self.unseen.renew(reach)
-        # The amount is charged or taken out already, and was the host's own until then.
-        return amount <= self.unseen.left(self._held + amount, reach.unreported_share())
+        self.unreported_spend.reset_outdated(reach)
+        # The amount has been charged or taken out already; until then it was part of the holding.
+        return amount <= self.unreported_spend.remaining(
+            self._held + amount, reach.unreported_share()
+        )
 
-    def got_unseen(self, amount: int, asked_clock: float) -> None:
-        """Count what a peer gave and the ledger has not got, asked for at ``asked_clock``.
+    def add_unreported_receipt(self, amount: int, asked_clock: float) -> None:
+        """Count an amount that a peer gave and that the ledger does not have yet.
 
-        The ledger counts it the same way, by when it was asked for.
+        ``asked_clock`` is when this host requested it. The ledger counts it in the same way, by
+        the time of the request.
         """
         reach = self.queue.reach
-        self.unseen.renew(reach)
-        if asked_clock > reach.told_at:
-            self.unseen.received += amount
+        self.unreported_spend.reset_outdated(reach)
+        if asked_clock > reach.last_sent_at:
+            self.unreported_spend.received += amount
 
     @property
     def mean_bound(self) -> float:
-        """Return the mean bound of the requests settled here; 0 before any."""
+        """Return the mean bound of the requests settled here; 0 before the first one."""
         return self.settled_bounds / self.settled_count if self.settled_count else 0.0
 
-    def numbers(self) -> Numbers:
-        """Return the next numbers, to go on from later."""
-        return Numbers(
+    def numbers(self) -> StepNumbers:
+        """Return the next sequence numbers, for a later allotment of the same budget."""
+        return StepNumbers(
             self.next_charge,
             self.next_draw,
             self.next_return,
@@ -185,8 +191,8 @@
             self.next_accept,
         )
 
-    def number_from(self, numbers: Numbers) -> None:
-        """Go on from the numbers of an earlier allotment of this holder and budget."""
+    def resume_numbers(self, numbers: StepNumbers) -> None:
+        """Continue with the sequence numbers of an earlier allotment of this holder and budget."""
         self.next_charge = numbers.charge
         self.next_draw = numbers.draw
         self.next_return = numbers.give_back
@@ -195,11 +201,11 @@
 
     @property
     def booked(self) -> int:
-        """Return what the ledger books to this host, as far as this host knows."""
+        """Return what the ledger books to this host, as far as this host has recorded it."""
         return self.spendable + self.reserved + self.charging
 
     def state(self) -> dict[str, Any]:
-        """Describe the allotment, for the state dump."""
+        """Return the allotment's state for the state dump."""
         return {
             "spendable": self.spendable,
             "reserved": self.reserved,
@@ -209,12 +215,12 @@
         }
 
     def try_hold(self, amount: int) -> bool:
-        """Move ``amount`` from spendable to reserved where it is covered."""
+        """Move ``amount`` from spendable to reserved if it is covered; return whether it was."""
         if amount > self.usable:
             return False
         self.spendable -= amount
         self.reserved += amount
-        if self.spendable < self.low and self.on_low is not None:
+        if self.spendable < self.low_watermark and self.on_low is not None:
             self.on_low()
         return True
 
@@ -222,11 +228,11 @@
         """Move ``amount`` from reserved back to spendable."""
         self.reserved -= amount
         self.spendable += amount
-        self._was_freed()
+        self._notify_freed()
 
-    def _was_freed(self) -> None:
-        if self.scarce is not None:
-            self.scarce.serve()
+    def _notify_freed(self) -> None:
+        if self.reservation_queue is not None:
+            self.reservation_queue.serve()
         elif self.on_surplus is not None:
             self.on_surplus()
 
@@ -241,36 +247,36 @@
         number = self.take_charge_number()
         if actual < bound:
             self.spendable += bound - actual
-            self._was_freed()
+            self._notify_freed()
         return number
 
     def open(self, bound: int) -> int:
-        """Move a reservation of ``bound`` to charging, whole, and return the charge's number."""
+        """Move the full reservation of ``bound`` to charging and return the charge's number."""
         self.reserved -= bound
         self.charging += bound
         return self.take_charge_number()
 
-    def note_cost(self, bound: int, actual: int) -> None:
-        """Learn from an open charge of ``bound`` what its request cost."""
+    def record_cost(self, bound: int, actual: int) -> None:
+        """Record the cost of a request whose open charge was ``bound``."""
         self.settled_since_review += actual
         self.settled_bounds += bound
         self.settled_count += 1
         self.used_since_view = True
 
     def refunded(self, amount: int) -> None:
-        """Add what the ledger gave back of an open charge."""
+        """Add what the ledger refunded of an open charge."""
         self.spendable += amount
         self.version += 1
-        self._was_freed()
+        self._notify_freed()
 
     def take_charge_number(self) -> int:
-        """Return the next charge's number, and count it as used."""
+        """Return the next charge's number and count it as used."""
         number = self.next_charge
         self.next_charge += 1
         return number
 
     def committed(self, amount: int) -> None:
-        """Forget a charge that the ledger has billed."""
+        """Remove a charge that the ledger has billed."""
         self.charging -= amount
         self.version += 1
 
@@ -287,35 +293,36 @@
         return taken
 
     def drop(self, amount: int) -> None:
-        """Remove money that the ledger does not book to us; what is spendable may go below 0."""
+        """Remove money that the ledger does not book here; ``spendable`` may fall below 0."""
         self.spendable -= amount
         self.version += 1
 
     @contextmanager
     def transferring(self) -> Iterator[None]:
-        """Count a transfer with a peer as under way while the block runs.
+        """Count a transfer with a peer as in flight while the block runs.
 
-        The ledger may have it before or after this host counts it. What the ledger books to
-        this host is then no measure of what it holds: claimed as missing, the amount would be
-        spent by both hosts of the transfer, or twice by its taker.
+        The ledger may receive the transfer before or after this host counts it. During that time
+        the ledger's figure is not comparable with what this host holds. If the host claimed the
+        difference as missing, both hosts of the transfer would spend the amount, or its recipient
+        would spend it twice.
         """
-        self.transfers_under_way += 1
+        self.transfers_in_flight += 1
         self.version += 1
         try:
             yield
         finally:
-            self.transfers_under_way -= 1
+            self.transfers_in_flight -= 1
             self.version += 1
 
     def is_settled(self) -> bool:
-        """Say whether every step of this budget is known to the ledger, and none under way."""
+        """Return whether the ledger has every step of this budget and none is in flight."""
         has_step = self.pending_draw is not None or self.pending_return is not None
-        if has_step or self.transfers_under_way:
+        if has_step or self.transfers_in_flight:
             return False
         return self.queue.in_reach and self.queue.uncommitted == 0
 
     def update_view(self, view: LedgerView) -> None:
-        """Note the ledger's sums, and what all hosts spent since the last ones."""
+        """Record the ledger's sums and what all hosts spent since the last ones."""
         last = self.view
         if last is not None and view.charged >= last.charged:
             self.total_demand.add(view.charged - last.charged, view.at)
--- a/cranberrywall/budgets/_allotments.py
+++ b/cranberrywall/budgets/_allotments.py
@@ -1,4 +1,4 @@
-"""Spend prepaid budgets on an entry host from the amounts that it holds."""
+"""Spend prepaid budgets on an entry host from the allotments that it holds."""
 
 import asyncio
 import heapq
@@ -8,7 +8,7 @@
 
 from result import Err, Ok, Result
 
-from cranberrywall.budgets._allotment import Allotment, Numbers
+from cranberrywall.budgets._allotment import Allotment, StepNumbers
 from cranberrywall.budgets._charge_replication import Kept
 from cranberrywall.budgets._charges import ChargeQueue
 from cranberrywall.budgets._client import LedgerClient
@@ -33,14 +33,14 @@
     TakeRequest,
 )
 from cranberrywall.budgets._peer_replication import (
-    CHOOSE_EVERY_S,
-    Emptied,
-    Mirror,
-    deliver_at_mirrors,
+    CHOICE_INTERVAL_S,
+    EmptiedHolders,
+    PeerReplicator,
+    deliver_at_replica_holders,
 )
 from cranberrywall.budgets._recovery import checkpoint_of, hand_over, resume
-from cranberrywall.budgets._registration import Registration, of_group
-from cranberrywall.budgets._replica_store import MirrorStore
+from cranberrywall.budgets._registration import Registration, part_of_group
+from cranberrywall.budgets._replica_store import ReplicaStore
 from cranberrywall.budgets._reservation import HeldReservation
 from cranberrywall.budgets._review import REVIEW_INTERVAL_S, Reviewer
 from cranberrywall.budgets._shortfalls import FundingSources, ShortfallQueue
@@ -51,26 +51,26 @@
 from cranberrywall.observability import Metrics, log_event
 from cranberrywall.runtime import Runtime
 
-# An allotment that was not used for this long is returned and forgotten.
-FORGET_AFTER_S = 24 * 3600.0
-# A holder with nothing else to say is heard by the ledger this often, in seconds: the shorter its
-# silence, the more of its part is freed at once where it is lost.
-CONTACT_EVERY_S = 0.5
-# All idle hosts together send the ledger's leader so many commands a second for it.
-CONTACTS_PER_S = 16.0
-# The configuration's totals are compared with what the ledger said was credited this often, in
-# seconds: a raise is credited within one.
-TOTALS_EVERY_S = 1.0
-# A host that stops waits this long for the ledger to take its charges.
+# An allotment that was idle for this long is returned to the ledger and removed.
+IDLE_EVICTION_DELAY_S = 24 * 3600.0
+# A holder with nothing else to send contacts the ledger at this interval, in seconds. The shorter
+# the time since its last contact, the more of its money is freed immediately if it is lost.
+CONTACT_INTERVAL_S = 0.5
+# All idle hosts together send the ledger's leader this many contact commands a second.
+MAX_CONTACTS_PER_S = 16.0
+# The configured totals are compared with the credits that the ledger reported at this interval, in
+# seconds. A host draws from a raised total within one interval.
+TOTALS_CHECK_INTERVAL_S = 1.0
+# A host that stops waits this long for the ledger to commit its charges.
 HAND_BACK_TIMEOUT_S = 10.0
-# The state dump names this many budgets, those that hold most.
-BUDGETS_DUMPED = 50
+# The state dump lists this many budgets, those with the largest amounts.
+MAX_DUMPED_BUDGETS = 50
 
 _ISOLATED = Refusal(
     ErrorKind.BUDGET_UNREACHABLE,
-    "this host has no disk that works, and reaches neither the ledger nor peers to keep charges",
+    "this host has no working disk, and can reach neither the ledger nor enough peers",
     "budget",
-    "send it to another host",
+    "send the request to another host",
 )
 
 
@@ -86,14 +86,16 @@
     runtime: Runtime,
     started_clock: float | None = None,
 ) -> HostAllotments:
-    """Return the allotments of this run of this host; ``start`` them before use.
+    """Return the allotments of this incarnation of the host; call ``start`` before use.
 
-    ``entry_hosts`` lists the entry hosts of the configuration in force: a host without a
-    disk keeps charges at some of them.
-    ``started_clock`` is the runtime's clock at the start of this process, now where ``None``.
+    ``entry_hosts`` lists the entry hosts of the active configuration: a host without a disk
+    replicates its charges to some of them. ``started_clock`` is the runtime's clock at the start
+    of this process; ``None`` stands for now.
     """
     storage = runtime.storage
-    keeper = Journal(storage) if storage else Mirror(holder.host, entry_hosts, peers, caller)
+    replicator = (
+        Journal(storage) if storage else PeerReplicator(holder.host, entry_hosts, peers, caller)
+    )
     return _HostAllotments(
         holder,
         place,
@@ -103,7 +105,7 @@
         policies,
         caller,
         server,
-        keeper,
+        replicator,
         runtime,
         runtime.clock.now() if started_clock is None else started_clock,
     )
@@ -120,7 +122,7 @@
         policies: Policies,
         caller: Caller,
         server: Server,
-        keeper: Journal | Mirror,
+        replicator: Journal | PeerReplicator,
         runtime: Runtime,
         started_clock: float,
     ) -> None:
@@ -131,55 +133,57 @@
         self._entry_hosts = entry_hosts
         self._policies = policies
         self._caller = caller
-        self._keeper = keeper
+        self._replicator = replicator
         self._clock = runtime.clock
         self._by_budget: dict[str, Allotment] = {}
-        self._numbers_by_budget: dict[str, Numbers] = {}
+        self._numbers_by_budget: dict[str, StepNumbers] = {}
         self._shortfall_queue_by_budget: dict[str, ShortfallQueue] = {}
         self._queue_by_group = {group: self._make_queue(group) for group in ledger.groups()}
         self._steps = LedgerCommands(ledger, self._clock)
-        self._store = MirrorStore(
-            holder, ledger, keeper if isinstance(keeper, Journal) else None, self._clock
+        self._store = ReplicaStore(
+            holder, ledger, replicator if isinstance(replicator, Journal) else None, self._clock
+        )
+        self._donor = TransferDonor(ledger, replicator, self._clock)
+        recipient = TransferRecipient(
+            caller, replicator, self._store.is_ended, self._clock, runtime.random
         )
-        self._giver = TransferDonor(ledger, keeper, self._clock)
-        taker = TransferRecipient(caller, keeper, self._store.is_ended, self._clock, runtime.random)
         self._reviewer = Reviewer(
             holder.host,
             place,
             ledger,
-            taker,
+            recipient,
             self._steps,
             peers,
             entry_hosts,
-            self._usual_bound,
+            self._host_mean_bound,
             lambda: len(self._by_budget),
             self._clock,
         )
-        self._tools = FundingSources(
+        self._funding_sources = FundingSources(
             holder.host,
             place,
             ledger,
             self._steps,
-            taker,
+            recipient,
             peers,
             self._clock,
-            self._reviewer.wanted,
-            self._reviewer.note_scarce,
+            self._reviewer.missing_amount,
+            self._reviewer.recheck_surplus,
         )
         self._tasks: list[asyncio.Task[None]] = []
-        server.register(TAKE, self._give)
-        server.register(KEEP, self._store.keep)
-        server.register(FORGET, self._store.forget)
-        server.register(DELIVER, self._deliver)
+        server.register(TAKE, self._handle_take)
+        server.register(KEEP, self._store.store)
+        server.register(FORGET, self._store.discard)
+        server.register(DELIVER, self._handle_deliver)
 
     def _make_queue(self, group: str) -> ChargeQueue:
-        # A journal outlives its process; what peers keep in memory may not.
-        is_bounded = not isinstance(self._keeper, Journal)
+        # A journal outlives its process; copies in the memory of peers may be lost.
+        is_bounded = not isinstance(self._replicator, Journal)
         queue = ChargeQueue(
-            group, self._holder, self._ledger, self._keeper, self._clock, is_bounded
+            group, self._holder, self._ledger, self._replicator, self._clock, is_bounded
         )
-        queue.on_reach = partial(self._reach_changed, queue)
-        queue.on_succeed = partial(self._hand_over, queue)
+        queue.on_reach = partial(self._handle_reach_change, queue)
+        queue.on_handover = partial(self._hand_over, queue)
         return queue
 
     def try_reserve(self, request: ReserveRequest, now: float) -> Reservation | None:
@@ -203,28 +207,28 @@
         if not allotment.queue.accepts(allotment.policy):
             return Err(_ISOLATED)
         allotment.used_at = now
-        return await self._shortage(allotment).reserve(request, now)
+        return await self._shortfall_queue(allotment).reserve(request, now)
 
     async def start(self) -> Result[None, Refusal]:
         recovered = Recovered((), ())
-        if isinstance(self._keeper, Journal):
-            opened = await self._keeper.open()
+        if isinstance(self._replicator, Journal):
+            opened = await self._replicator.open()
             if isinstance(opened, Err):
                 return Err(opened.err_value)
             recovered = opened.ok_value
         self._resume(recovered)
-        has_journal = isinstance(self._keeper, Journal)
+        has_journal = isinstance(self._replicator, Journal)
         registration = Registration(
             self._ledger,
-            self._keeper,
-            None if has_journal else self._delivered_elsewhere,
+            self._replicator,
+            None if has_journal else self._deliver_at_peers,
             self._clock,
             self._started_clock,
         )
         for queue in self._queue_by_group.values():
             queue.start()
-            left = [of_group(kept, queue.group, self._ledger) for kept in recovered.kept]
-            left = [one for one in left if one.holder != queue.holder and self._is_mine(one)]
+            left = [part_of_group(kept, queue.group, self._ledger) for kept in recovered.kept]
+            left = [one for one in left if one.holder != queue.holder and self._is_own(one)]
             register = registration.register(queue, self._holder, left)
             self._tasks.append(asyncio.create_task(register))
         self._tasks.append(asyncio.create_task(self._announce_loop()))
@@ -238,8 +242,8 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._reviewer.stop()
-        for shortage in self._shortfall_queue_by_budget.values():
-            shortage.stop()
+        for shortfall_queue in self._shortfall_queue_by_budget.values():
+            shortfall_queue.stop()
         for queue in self._queue_by_group.values():
             await queue.stop()
 
@@ -249,9 +253,9 @@
                 for queue in self._queue_by_group.values():
                     await queue.drained()
         except TimeoutError:
-            # Cut off, a host must still be able to stop: its charges are kept, and its next
-            # run delivers them and lets the remainder come back.
-            return Err(Refusal(ErrorKind.UNREACHABLE, "the ledger does not take the charges"))
+            # An isolated host must still be able to stop. Its charges are durable; its next
+            # incarnation delivers them, and the remainder is then released.
+            return Err(Refusal(ErrorKind.UNREACHABLE, "the ledger did not commit all charges"))
         for allotment in list(self._by_budget.values()):
             returned = await self._steps.give_back(allotment, allotment.spendable)
             if isinstance(returned, Err):
@@ -261,7 +265,7 @@
     def state(self) -> dict[str, Any]:
         queues = self._queue_by_group.values()
         largest = heapq.nlargest(
-            BUDGETS_DUMPED, self._by_budget.values(), key=lambda allotment: allotment.booked
+            MAX_DUMPED_BUDGETS, self._by_budget.values(), key=lambda allotment: allotment.booked
         )
         return {
             "groups": {queue.group: queue.state() for queue in queues},
@@ -277,7 +281,7 @@
         )
         metrics.gauge_of(
             "budgets_short",
-            "Budgets for which requests wait here.",
+            "Budgets for which requests wait on this host.",
             lambda: len(self._shortfall_queue_by_budget),
         )
         metrics.gauge_of(
@@ -297,28 +301,28 @@
             policy = self._policies.spend_policy(workspace)
             queue = self._queue_by_group[self._ledger.group(budget)]
             allotment = Allotment(budget, workspace, policy, queue, self._clock.now())
-            allotment.number_from(self._numbers_by_budget.pop(budget, Numbers()))
+            allotment.resume_numbers(self._numbers_by_budget.pop(budget, StepNumbers()))
             allotment.on_low = partial(self._reviewer.draw_ahead, allotment)
             self._by_budget[budget] = allotment
         return allotment
 
-    def _usual_bound(self) -> float:
+    def _host_mean_bound(self) -> float:
         allotments = self._by_budget.values()
         count = sum(one.settled_count for one in allotments)
         return sum(one.settled_bounds for one in allotments) / count if count else 0.0
 
-    def _shortage(self, allotment: Allotment) -> ShortfallQueue:
-        shortage = self._shortfall_queue_by_budget.get(allotment.budget)
-        if shortage is None:
-            over = partial(self._shortfall_queue_by_budget.pop, allotment.budget, None)
-            shortage = ShortfallQueue(allotment, self._tools, over)
-            self._shortfall_queue_by_budget[allotment.budget] = shortage
-        return shortage
+    def _shortfall_queue(self, allotment: Allotment) -> ShortfallQueue:
+        shortfall_queue = self._shortfall_queue_by_budget.get(allotment.budget)
+        if shortfall_queue is None:
+            on_empty = partial(self._shortfall_queue_by_budget.pop, allotment.budget, None)
+            shortfall_queue = ShortfallQueue(allotment, self._funding_sources, on_empty)
+            self._shortfall_queue_by_budget[allotment.budget] = shortfall_queue
+        return shortfall_queue
 
     def _resume(self, recovered: Recovered) -> None:
-        """Go on as the holder of each checkpoint; the others' remains are delivered."""
+        """Resume as the holder of each checkpoint; store other holders' records for delivery."""
         for kept in recovered.kept:
-            if not self._is_mine(kept):
+            if not self._is_own(kept):
                 self._store.adopt(kept)
         for checkpoint in recovered.checkpoints:
             queue = self._queue_by_group.get(checkpoint.group)
@@ -326,7 +330,9 @@
                 continue
             mine = [kept for kept in recovered.kept if kept.holder == checkpoint.holder]
             kept = mine[0] if mine else Kept(checkpoint.holder, (), ())
-            resume(checkpoint, of_group(kept, queue.group, self._ledger), queue, self._allotment)
+            resume(
+                checkpoint, part_of_group(kept, queue.group, self._ledger), queue, self._allotment
+            )
             queue.successor = self._holder
             log_event(
                 "INFO",
@@ -336,42 +342,53 @@
                 budgets=len(checkpoint.rows),
             )
 
-    def _is_mine(self, kept: Kept) -> bool:
+    def _is_own(self, kept: Kept) -> bool:
         return kept.holder.host == self._holder.host
 
     def _hand_over(self, queue: ChargeQueue) -> list[tuple[Transfer, Allotment]]:
         return hand_over(list(self._by_budget.values()), queue, self._clock.wall())
 
-    async def _reach_changed(self, queue: ChargeQueue, in_reach: bool) -> None:
-        if not isinstance(self._keeper, Journal):
+    async def _handle_reach_change(self, queue: ChargeQueue, in_reach: bool) -> None:
+        if not isinstance(self._replicator, Journal):
             return
         if in_reach:
-            await self._keeper.in_reach(queue.group)
+            await self._replicator.in_reach(queue.group)
             return
         checkpoint = checkpoint_of(queue, list(self._by_budget.values()))
-        await self._keeper.out_of_reach(checkpoint, queue.unreported)
+        await self._replicator.out_of_reach(checkpoint, queue.unreported)
 
-    async def _delivered_elsewhere(self, keepers: Sequence[str]) -> Emptied | None:
+    async def _deliver_at_peers(self, replica_holders: Sequence[str]) -> EmptiedHolders | None:
         if self._policies.allows_isolated_spend():
-            # An earlier run may have spent alone, and taken what it knew of that with it.
+            # An earlier incarnation may have spent while isolated; the records of that were lost
+            # with it.
             return None
         host, incarnation = self._holder
-        return await deliver_at_mirrors(host, incarnation, keepers, self._peers, self._caller)
+        return await deliver_at_replica_holders(
+            host, incarnation, replica_holders, self._peers, self._caller
+        )
 
-    async def _give(self, request: TakeRequest, peer: Peer) -> Result[TakeReply, Refusal]:
+    async def _handle_take(self, request: TakeRequest, peer: Peer) -> Result[TakeReply, Refusal]:
         if peer.host != request.taker.host:
-            return Err(Refusal(ErrorKind.FORBIDDEN, "names another host", "taker"))
+            return Err(
+                Refusal(
+                    ErrorKind.FORBIDDEN,
+                    "the request names a recipient other than its sender",
+                    "taker",
+                )
+            )
         if request.giver != self._holder:
-            # An earlier run may have answered it. Answered twice, two transfers would have the
-            # same number at the taker, and the ledger would take them for one.
-            message = f"this is incarnation {self._holder.incarnation}"
+            # An earlier incarnation may have answered this request. A second answer would give two
+            # transfers the same number at the recipient, and the ledger would take them for one.
+            message = f"the host is now at incarnation {self._holder.incarnation}"
             return Err(Refusal(ErrorKind.CONFLICT, message, "giver"))
         allotment = self._by_budget.get(request.budget)
         if allotment is None:
             return Ok(TakeReply(self._holder, None, False, 0, 0))
-        return await self._giver.give(request, allotment)
+        return await self._donor.give(request, allotment)
 
-    async def _deliver(self, request: DeliverRequest, peer: Peer) -> Result[DeliverReply, Refusal]:
+    async def _handle_deliver(
+        self, request: DeliverRequest, peer: Peer
+    ) -> Result[DeliverReply, Refusal]:
         answer = await self._store.deliver(request, peer)
         if isinstance(answer, Err):
             return answer
@@ -386,14 +403,14 @@
 
     async def _announce_loop(self) -> None:
         while True:
-            await self._clock.sleep(CHOOSE_EVERY_S)
+            await self._clock.sleep(CHOICE_INTERVAL_S)
             for queue in self._queue_by_group.values():
-                await queue.announce_keepers()
+                await queue.announce_replica_holders()
 
     async def _totals_loop(self) -> None:
-        """Draw of totals that were raised: a cut may come before the next review."""
+        """Draw from raised totals early: a network partition may start before the next review."""
         while True:
-            await self._clock.sleep(TOTALS_EVERY_S)
+            await self._clock.sleep(TOTALS_CHECK_INTERVAL_S)
             for budget, _, total in self._policies.budget_assignments():
                 allotment = self._by_budget.get(budget)
                 view = allotment.view if allotment is not None else None
@@ -402,10 +419,10 @@
 
     async def _contact_loop(self) -> None:
         while True:
-            every_s = max(CONTACT_EVERY_S, len(self._entry_hosts()) / CONTACTS_PER_S)
-            await self._clock.sleep(every_s)
+            interval_s = max(CONTACT_INTERVAL_S, len(self._entry_hosts()) / MAX_CONTACTS_PER_S)
+            await self._clock.sleep(interval_s)
             for queue in self._queues_with_money():
-                await queue.keep_in_contact(every_s)
+                await queue.maintain_contact(interval_s)
 
     async def _review_loop(self) -> None:
         while True:
@@ -414,23 +431,23 @@
 
     async def _review_all(self) -> None:
         now = self._clock.now()
-        # Cut off before its first request of a budget, a host would have nothing to serve
-        # it from, and nor would its peers.
+        # A host that is isolated before its first request of a budget would have nothing to spend,
+        # and neither would its peers.
         for budget, workspace, _ in self._policies.budget_assignments():
             self._allotment(budget, workspace)
-        await self._store.help(now)
+        await self._store.commit_overdue(now)
         for allotment in list(self._by_budget.values()):
             await self._reviewer.review(allotment)
-            if allotment.booked == 0 and now - allotment.used_at >= FORGET_AFTER_S:
-                self._forget(allotment)
+            if allotment.booked == 0 and now - allotment.used_at >= IDLE_EVICTION_DELAY_S:
+                self._evict(allotment)
 
     def _queues_with_money(self) -> list[ChargeQueue]:
         held = {one.queue.group for one in self._by_budget.values() if one.booked > 0}
         return [queue for group, queue in self._queue_by_group.items() if group in held]
 
-    def _forget(self, allotment: Allotment) -> None:
-        # The ledger knows the numbers that were used: were they used again, new charges
-        # would pass for old ones that arrive twice, and never be billed.
+    def _evict(self, allotment: Allotment) -> None:
+        # The ledger has recorded the used numbers. If they were reused, it would treat new charges
+        # as duplicates and never bill them.
         self._numbers_by_budget[allotment.budget] = allotment.numbers()
         del self._by_budget[allotment.budget]
         self._shortfall_queue_by_budget.pop(allotment.budget, None)
--- a/cranberrywall/budgets/_charge_replication.py
+++ b/cranberrywall/budgets/_charge_replication.py
@@ -1,4 +1,4 @@
-"""Define what keeps charges and transfers safe while the ledger is out of reach."""
+"""Define how charges and transfers are kept durable while the ledger is out of reach."""
 
 from collections.abc import Callable, Collection
 from typing import NamedTuple, Protocol
@@ -8,8 +8,8 @@
 from cranberrywall.budgets.messages import Charge, Holder, Transfer
 from cranberrywall.errors import ErrorKind, Refusal
 
-# After these a command may yet be applied. Every other kind is the ledger's own answer.
-UNCERTAIN = frozenset(
+# After these errors a command may still be applied. Every other kind is the ledger's own answer.
+UNCERTAIN_KINDS = frozenset(
     {
         ErrorKind.UNREACHABLE,
         ErrorKind.TIMEOUT,
@@ -23,40 +23,40 @@
 
 
 def out_of_reach(refusal: Refusal) -> bool:
-    """Say whether the ledger could not be asked, or its answer was lost."""
-    return refusal.kind in UNCERTAIN
+    """Return whether the ledger could not be asked, or its answer was lost."""
+    return refusal.kind in UNCERTAIN_KINDS
 
 
 class Kept(NamedTuple):
-    """Hold what must reach the ledger some day: transfers first, then charges."""
+    """Records that must still reach the ledger: transfers first, then charges."""
 
     holder: Holder
     transfers: tuple[Transfer, ...]
     charges: tuple[Charge, ...]
 
 
-Allows = Callable[[str], bool]
-"""Say of a host by its name whether something may be kept there."""
+HostFilter = Callable[[str], bool]
+"""Return whether records may be stored at the host with the given name."""
 
 
 class ChargeReplicator(Protocol):
     """Make charges and transfers durable without the ledger."""
 
-    def choose(self, now: float) -> Collection[Holder] | None:
-        """Return the runs of peers that should keep from now on; ``None`` to leave it as it is."""
+    def choose_replica_holders(self, now: float) -> Collection[Holder] | None:
+        """Return the incarnations of peers that should store copies; ``None`` to change nothing."""
         ...
 
-    async def keep(self, kept: Kept, allows: Allows) -> Result[None, Refusal]:
+    async def persist(self, kept: Kept, is_allowed: HostFilter) -> Result[None, Refusal]:
         """Return once ``kept`` survives the loss of this process.
 
-        Peers may keep it only where ``allows`` says so of the peer's name.
+        A peer may store it only if ``is_allowed`` returns true for the peer's name.
         """
         ...
 
-    def can_keep(self, allows: Allows) -> bool:
-        """Say whether ``keep`` is likely to succeed now."""
+    def can_persist(self, is_allowed: HostFilter) -> bool:
+        """Return whether ``persist`` is likely to succeed now."""
         ...
 
     async def committed(self, kept: Kept) -> None:
-        """Note that the ledger has ``kept``: nobody need keep it any longer."""
+        """Record that the ledger has ``kept``, so that its copies can be discarded."""
         ...
--- a/cranberrywall/budgets/_charges.py
+++ b/cranberrywall/budgets/_charges.py
@@ -1,4 +1,4 @@
-"""Commit charges in batches, and keep them safe while the ledger is out of reach."""
+"""Commit charges in batches, and keep them durable while the ledger is out of reach."""
 
 import asyncio
 from collections import deque
@@ -11,8 +11,8 @@
 from cranberrywall.budgets._client import LedgerClient
 from cranberrywall.budgets._corrections import CorrectionQueue
 from cranberrywall.budgets._interfaces import SpendPolicy
-from cranberrywall.budgets._pending import ChargedAllotment, PendingCharge, note_outcome
-from cranberrywall.budgets._reach import Reach
+from cranberrywall.budgets._ledger_reach import LedgerReach
+from cranberrywall.budgets._pending import ChargedAllotment, PendingCharge, log_outcome
 from cranberrywall.budgets._transfer_reports import TransferReports
 from cranberrywall.budgets.messages import (
     MAX_CHARGES_IN_BATCH,
@@ -31,25 +31,29 @@
 from cranberrywall.observability import log_event
 from cranberrywall.runtime import Clock
 
-# Batches of one group start at least this far apart; charges in between share one.
-BATCH_GAP_S = 0.02
+# Batches of one group start at least this far apart, in seconds; charges that arrive in between
+# share one batch.
+MIN_BATCH_INTERVAL_S = 0.02
 COMMIT_TIMEOUT_S = 1.0
-# A commit takes some milliseconds. Where charges can be kept at peers only, requests wait for
-# theirs before they are sent: the ledger counts as out of reach after this, in seconds.
+# A commit takes some milliseconds. If charges can be replicated to peers only, requests wait for
+# their charges before they are sent: the ledger then counts as out of reach after this time, in
+# seconds.
 QUICK_COMMIT_TIMEOUT_S = 0.25
-# Charges that may not be kept yet are looked at this often, in seconds: their bounds rise.
-KEEP_POLL_S = 0.05
-RETRY_FIRST_S = 0.25
-# A cut that is mended is noticed within about this time and a commit's, in seconds, at one small
-# call for it. Until then a host counts as silent, and after a loss of power for all of that.
-RETRY_MOST_S = 0.3
+# Charges that may not be replicated yet are checked at this interval, in seconds, because their
+# bounds rise with time.
+PERSIST_POLL_INTERVAL_S = 0.05
+MIN_RETRY_DELAY_S = 0.25
+# The end of a network partition is noticed within about this time plus that of a commit, in
+# seconds, at the cost of one small call. Until then the ledger treats the host as unresponsive, and
+# after a loss of power it does so for all of that time.
+MAX_RETRY_DELAY_S = 0.3
 
 
 class ChargeQueue:
-    """Commit one holder's charges at one ledger group; at most one batch is under way.
+    """Commit one holder's charges at one ledger group, with at most one batch in flight.
 
-    ``durable`` says whether a charge can be made durable at all. ``on_reach`` is called with
-    the new state of ``in_reach`` at each change.
+    ``durable`` states whether a charge can be made durable at all. ``on_reach`` is called with the
+    new value of ``in_reach`` at each change.
     """
 
     def __init__(
@@ -57,79 +61,80 @@
         group: str,
         holder: Holder,
         ledger: LedgerClient,
-        keeper: ChargeReplicator,
+        replicator: ChargeReplicator,
         clock: Clock,
         is_bounded: bool = False,
     ) -> None:
-        """``is_bounded`` where charges are kept at peers only, which may be lost with the host.
+        """Create the queue; ``is_bounded`` if only peers store copies of the charges.
 
-        Else a journal outlives the process.
+        Such copies may be lost together with the host; a journal outlives the process.
         """
         self._commit_timeout_s = QUICK_COMMIT_TIMEOUT_S if is_bounded else COMMIT_TIMEOUT_S
-        self.reach = Reach(group, keeper, clock, is_bounded)
+        self.reach = LedgerReach(group, replicator, clock, is_bounded)
         self._open_charges = CorrectionQueue()
         self.group = group
         self.holder = holder
         self.durable = True
         self.on_reach: Callable[[bool], Awaitable[None]] | None = None
         self.successor: Holder | None = None
-        self.on_succeed: Callable[[], Sequence[tuple[Transfer, ChargedAllotment]]] | None = None
+        self.on_handover: Callable[[], Sequence[tuple[Transfer, ChargedAllotment]]] | None = None
         self._ledger = ledger
-        self._keeper = keeper
+        self._replicator = replicator
         self._clock = clock
         self._waiting: deque[PendingCharge] = deque()
-        self._under_way: list[PendingCharge] = []
-        self._sends_kept = False
+        self._in_flight: list[PendingCharge] = []
+        self._is_sending_kept = False
         self._kept: deque[PendingCharge] = deque()
-        self._transfers = TransferReports(group, ledger, keeper, clock, self._commit_timeout_s)
+        self._transfers = TransferReports(group, ledger, replicator, clock, self._commit_timeout_s)
         self._to_commit = asyncio.Event()
-        self._to_keep = asyncio.Event()
+        self._to_persist = asyncio.Event()
         self._idle = asyncio.Event()
         self._idle.set()
         self._tasks: list[asyncio.Task[None]] = []
-        self._retry_s = RETRY_FIRST_S
+        self._retry_s = MIN_RETRY_DELAY_S
 
     def accepts(self, policy: SpendPolicy) -> bool:
-        """Say whether a new request may be admitted: its charge would last.
+        """Return whether a new request may be admitted because its charge can be made durable.
 
-        Where one could not be kept, peers may be in reach again: they restart one by one.
+        If the last charge could not be replicated, enough peers may be reachable again: they
+        restart one by one.
         """
         if self.durable or policy.isolated == "spend":
             return True
-        return self._keeper.can_keep(self.reach.may_keep_at)
+        return self._replicator.can_persist(self.reach.may_store_at)
 
     @property
     def uncommitted(self) -> int:
         """Return the number of charges and transfers that the ledger has not confirmed."""
-        charges = len(self._waiting) + len(self._under_way) + len(self._kept)
+        charges = len(self._waiting) + len(self._in_flight) + len(self._kept)
         return charges + len(self._transfers) + len(self._open_charges)
 
     @property
     def in_reach(self) -> bool:
-        """Say whether the ledger answered last."""
+        """Return whether the last call to the ledger was answered."""
         return self.reach.in_reach
 
     def state(self) -> dict[str, Any]:
-        """Describe the queue, for the state dump."""
+        """Return the queue's state for the state dump."""
         return {
             "holder": self.holder,
             "in_reach": self.in_reach,
             "durable": self.durable,
-            "waiting": len(self._waiting) + len(self._under_way),
+            "waiting": len(self._waiting) + len(self._in_flight),
             "kept": len(self._kept),
-            "keepers": self.reach.keepers(),
+            "keepers": self.reach.replica_holders(),
             "transfers_to_report": len(self._transfers),
         }
 
     def start(self) -> None:
-        """Begin to commit."""
+        """Start the tasks that commit and replicate charges."""
         self._tasks = [
             asyncio.create_task(self._commit_loop()),
-            asyncio.create_task(self._keep_loop()),
+            asyncio.create_task(self._persist_loop()),
         ]
 
     async def stop(self) -> None:
-        """End at once; what is not committed stays where it is kept."""
+        """Stop immediately; copies of uncommitted charges remain stored."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -140,23 +145,23 @@
         done: asyncio.Future[Result[None, Refusal]] = asyncio.get_running_loop().create_future()
         self._waiting.append(PendingCharge(charge, allotment, done))
         if len(self._waiting) == 1:
-            self._work_came()
+            self._notify_work()
             if not self.in_reach:
-                self._to_keep.set()
+                self._to_persist.set()
         return await done
 
     def correct(self, charge: Charge, amount: int, allotment: ChargedAllotment) -> None:
-        """Queue what an open charge, which is durable, came to in the end."""
+        """Queue the final amount of an open charge, which is durable already."""
         self._open_charges.correct(self.holder, charge, amount, allotment)
-        self._work_came()
+        self._notify_work()
 
-    def report(self, transfer: Transfer, taken_by: ChargedAllotment | None) -> None:
-        """Queue the report of a transfer, before every charge that is not committed yet.
+    def report(self, transfer: Transfer, recipient: ChargedAllotment | None) -> None:
+        """Queue the report of a transfer, ahead of every charge that is not committed yet.
 
-        ``taken_by`` is the allotment that took it; the giver's report has none.
+        ``recipient`` is the allotment that received the amount; ``None`` in the donor's report.
         """
-        self._transfers.add(transfer, taken_by)
-        self._work_came()
+        self._transfers.add(transfer, recipient)
+        self._notify_work()
 
     @property
     def unreported(self) -> tuple[Transfer, ...]:
@@ -164,32 +169,32 @@
         return self._transfers.transfers
 
     def start_out_of_reach(self) -> None:
-        """Begin without the ledger, as after a restart that goes on from a checkpoint."""
-        self.reach.lose()
-        self._work_came()
+        """Start without the ledger, after a restart that resumes from a checkpoint."""
+        self.reach.mark_out_of_reach()
+        self._notify_work()
 
     def adopt(self, charge: Charge, allotment: ChargedAllotment) -> None:
-        """Queue a charge that is already kept, as after a restart."""
+        """Queue a charge that is already stored, after a restart."""
         self._kept.append(PendingCharge(charge, allotment, None))
-        self._work_came()
+        self._notify_work()
 
-    async def lost(self, refusal: Refusal) -> None:
-        """Note that the ledger is out of reach: charges are kept here from now on."""
+    async def mark_out_of_reach(self, refusal: Refusal) -> None:
+        """Record that the ledger is out of reach: charges are replicated from now on."""
         if not self.in_reach:
             return
-        self.reach.lose()
+        self.reach.mark_out_of_reach()
         log_event("WARNING", "ledger_out_of_reach", group=self.group, kind=refusal.kind)
         if self.on_reach is not None:
             await self.on_reach(False)
-        self._work_came()
+        self._notify_work()
         if self._waiting:
-            self._to_keep.set()
+            self._to_persist.set()
 
     async def drained(self) -> None:
         """Return once every charge and transfer is committed."""
         await self._idle.wait()
 
-    def _work_came(self) -> None:
+    def _notify_work(self) -> None:
         self._idle.clear()
         self._to_commit.set()
 
@@ -201,12 +206,12 @@
                 await self._commit_next()
             else:
                 await self._probe()
-            if self.successor is not None and self._can_succeed():
-                self._succeed()
+            if self.successor is not None and self._can_switch():
+                self._switch_to_successor()
             if self.uncommitted == 0 and self.in_reach:
                 self._to_commit.clear()
                 self._idle.set()
-            pause = BATCH_GAP_S - (self._clock.now() - started_at)
+            pause = MIN_BATCH_INTERVAL_S - (self._clock.now() - started_at)
             if pause > 0.0:
                 await self._clock.sleep(pause)
 
@@ -216,30 +221,31 @@
         if isinstance(answer, Ok):
             answer = await self._commit_corrections()
         if isinstance(answer, Ok):
-            self._sends_kept = source is self._kept
-            self._under_way = self._take_funded(source)
-            answer = await self._commit(self._under_way)
-        self._sends_kept = False
-        batch, self._under_way = self._under_way, []
+            self._is_sending_kept = source is self._kept
+            self._in_flight = self._pop_funded(source)
+            answer = await self._commit(self._in_flight)
+        self._is_sending_kept = False
+        batch, self._in_flight = self._in_flight, []
         if isinstance(answer, Err):
             source.extendleft(reversed(batch))
-            await self.lost(answer.err_value)
-            # A draw may have found the ledger lost while this batch was on its way: nobody
-            # would keep it then, and its requests would wait until the cut is mended.
-            self._to_keep.set()
+            await self.mark_out_of_reach(answer.err_value)
+            # A draw may have marked the ledger as out of reach while this batch was in flight.
+            # Without this call the batch would not be replicated, and its requests would wait until
+            # the ledger is reachable.
+            self._to_persist.set()
             return
         await self._finish(batch, answer.ok_value)
 
     async def _commit_corrections(self) -> Result[Any, Refusal]:
-        """Correct open charges, once all charges that are kept elsewhere are committed."""
-        some = [] if self._kept else self._open_charges.take(self._waiting)
-        if not some:
+        """Correct open charges, once all replicated charges are committed."""
+        queued = [] if self._kept else self._open_charges.take(self._waiting)
+        if not queued:
             return Ok(None)
-        holder = some[0].holder
-        corrections = tuple(one.correction for one in some)
+        holder = queued[0].holder
+        corrections = tuple(one.correction for one in queued)
         answer = await self._correct(holder, corrections)
         if isinstance(answer, Ok):
-            self._open_charges.confirm(some)
+            self._open_charges.confirm(queued)
         return answer
 
     async def _correct(
@@ -252,61 +258,64 @@
             self.reach.record_answer(contact)
         return answer
 
-    async def keep_in_contact(self, every_s: float) -> None:
-        """Tell the ledger that this holder is there, where it had nothing to say for so long."""
-        if self.reach.was_silent(every_s):
-            await self._make_contact()
+    async def maintain_contact(self, interval_s: float) -> None:
+        """Send the ledger a contact command if none was sent to it for ``interval_s`` seconds."""
+        if self.reach.is_contact_due(interval_s):
+            await self._send_contact()
 
-    async def announce_keepers(self) -> None:
-        """Tell the ledger who keeps charges from now on, where that has changed.
+    async def announce_replica_holders(self) -> None:
+        """Send the ledger the current replica holders if they have changed.
 
-        In a cut, a host may spend what its peers give it, also where it held nothing before.
+        In a network partition a host may spend what its peers give it, even if it held nothing
+        before.
         """
-        if self.reach.has_new_keepers():
-            await self._make_contact()
+        if self.reach.has_new_replica_holders():
+            await self._send_contact()
 
-    async def _make_contact(self) -> None:
+    async def _send_contact(self) -> None:
         if not self.in_reach:
             return
         answer = await self._correct(self.holder, ())
         if isinstance(answer, Err):
             log_event("INFO", "contact_failed", group=self.group, kind=answer.err_value.kind)
             if out_of_reach(answer.err_value):
-                # An idle host knows of a cut before peers ask it for what it holds: it would else
-                # try to have its gifts booked first, and they give up on it meanwhile.
-                await self.lost(answer.err_value)
+                # An idle host must notice a partition before peers ask it for money. Otherwise it
+                # would first try to commit its transfers, and the peers' calls would time out.
+                await self.mark_out_of_reach(answer.err_value)
 
     def contact(self) -> Contact:
-        """Return how the ledger is reached by a command that goes out now."""
-        return self.reach.contact(self._unseen_by_budget())
+        """Return the contact data of a command that is sent now."""
+        return self.reach.contact(self._unreported_by_budget())
 
-    def _unseen_by_budget(self) -> dict[str, int]:
-        """Sum what was spent and given that the ledger has not got.
+    def _unreported_by_budget(self) -> dict[str, int]:
+        """Sum the amounts spent and given that the ledger does not have, by budget.
 
-        Kept charges on their way may be lost with this host: a draw that overtakes them must
-        not leave them out, or the ledger would free what they have spent.
+        Replicated charges in flight to the ledger may be lost with this host. If a draw that
+        overtakes them left them out, the ledger would free money that they have spent.
         """
-        unseen: dict[str, int] = {}
-        for pending in (*self._kept, *(self._under_way if self._sends_kept else ())):
+        amount_by_budget: dict[str, int] = {}
+        for pending in (*self._kept, *(self._in_flight if self._is_sending_kept else ())):
             charge = pending.charge
-            unseen[charge.budget] = unseen.get(charge.budget, 0) + charge.amount
+            amount_by_budget[charge.budget] = amount_by_budget.get(charge.budget, 0) + charge.amount
         for transfer in self._transfers.transfers:
             if transfer.giver.host == self.holder.host:
-                unseen[transfer.budget] = unseen.get(transfer.budget, 0) + transfer.amount
-        return unseen
+                amount_by_budget[transfer.budget] = (
+                    amount_by_budget.get(transfer.budget, 0) + transfer.amount
+                )
+        return amount_by_budget
 
-    def _can_succeed(self) -> bool:
+    def _can_switch(self) -> bool:
         return self.in_reach and not self._kept and not self._transfers
 
-    def _succeed(self) -> None:
-        """Go on as the successor: all that was spent as the old holder is committed.
+    def _switch_to_successor(self) -> None:
+        """Continue as the successor, now that everything spent as the old holder is committed.
 
-        One step without a wait, so that no charge is numbered in between. Charges that
-        wait were never sent, and take the successor's numbers.
+        The method does not await, so that no charge gets a number in between. Waiting charges were
+        never sent, and get the successor's numbers.
         """
         assert self.successor is not None
-        if self.on_succeed is not None:
-            self._transfers.extend(self.on_succeed())
+        if self.on_handover is not None:
+            self._transfers.extend(self.on_handover())
         self._waiting = deque(
             pending._replace(
                 charge=pending.charge._replace(number=pending.allotment.take_charge_number())
@@ -317,25 +326,25 @@
         self.successor = None
 
     async def _probe(self) -> None:
-        """Try the ledger again with what is kept, ever more rarely."""
+        """Try the ledger again with the replicated charges, at growing intervals."""
         await self._clock.sleep(self._retry_s)
-        self._retry_s = min(RETRY_MOST_S, self._retry_s * 2.0)
+        self._retry_s = min(MAX_RETRY_DELAY_S, self._retry_s * 2.0)
         answer: Result[Any, Refusal] = await self._transfers.report_all(self.holder)
         if isinstance(answer, Ok):
-            self._under_way = self._take_funded(self._kept)
-            answer = await self._commit_or_ask(self._under_way)
-        batch, self._under_way = self._under_way, []
+            self._in_flight = self._pop_funded(self._kept)
+            answer = await self._commit_or_ask(self._in_flight)
+        batch, self._in_flight = self._in_flight, []
         if isinstance(answer, Err):
             self._kept.extendleft(reversed(batch))
             return
-        # The listener first: a journal must drop its checkpoint before it forgets charges
-        # that are committed, or a restart would count their money as still held.
+        # The callback runs first: a journal must drop its checkpoint before it removes committed
+        # charges, or a restart would count their money as still held.
         if self.on_reach is not None:
             await self.on_reach(True)
         log_event("INFO", "ledger_in_reach", group=self.group, kept=len(self._kept))
-        self.reach.find()
+        self.reach.mark_in_reach()
         self.durable = True
-        self._retry_s = RETRY_FIRST_S
+        self._retry_s = MIN_RETRY_DELAY_S
         if batch:
             await self._finish(batch, answer.ok_value)
 
@@ -357,11 +366,11 @@
             self.reach.record_answer(contact)
         return answer
 
-    def _take_funded(self, source: deque[PendingCharge]) -> list[PendingCharge]:
-        """Take the first charges that the ledger will find covered.
+    def _pop_funded(self, source: deque[PendingCharge]) -> list[PendingCharge]:
+        """Remove and return the first charges that the ledger will find covered.
 
-        Money that was given to this host pays for them: while a report of it waits for
-        that of its giver's own money, charges of the budget wait too.
+        Charges may be paid with money that a peer gave to this host. While a report of such a
+        transfer waits for the report that funds the donor, charges of the budget wait as well.
         """
         waiting = self._transfers.unfunded_budgets()
         if not waiting:
@@ -380,38 +389,41 @@
         for pending, outcome in zip(batch, answer.outcomes, strict=True):
             pending.allotment.committed(pending.charge.amount)
             if outcome is not ChargeOutcome.BILLED:
-                note_outcome(pending, outcome)
+                log_outcome(pending, outcome)
                 self._open_charges.record_unbilled(pending.charge)
             pending.answer(Ok(None))
         charges = tuple(pending.charge for pending in batch)
-        await self._keeper.committed(Kept(self.holder, (), charges))
+        await self._replicator.committed(Kept(self.holder, (), charges))
 
-    async def _keep_loop(self) -> None:
+    async def _persist_loop(self) -> None:
         while True:
-            await self._to_keep.wait()
-            self._to_keep.clear()
+            await self._to_persist.wait()
+            self._to_persist.clear()
             while self._waiting and not self.in_reach:
-                batch = self._take_allowed()
+                batch = self._pop_allowed()
                 if batch:
-                    await self._keep_batch(batch)
+                    await self._persist_batch(batch)
                 else:
-                    await self._clock.sleep(KEEP_POLL_S)
+                    await self._clock.sleep(PERSIST_POLL_INTERVAL_S)
 
-    def _take_allowed(self) -> list[PendingCharge]:
-        """Take out the charges that may be kept now, and count them to their budgets' bounds."""
+    def _pop_allowed(self) -> list[PendingCharge]:
+        """Remove and return the charges that may be replicated now; add them to their bounds."""
         taken: list[PendingCharge] = []
-        # In place: a commit that began before holds this deque, and would send what is kept.
+        # The deque is changed in place: a commit that started earlier refers to it, and would
+        # otherwise send charges that are replicated now.
         for _ in range(len(self._waiting)):
             pending = self._waiting.popleft()
-            is_allowed = pending.allotment.try_keep_unseen(pending.charge.amount)
+            is_allowed = pending.allotment.try_persist_unreported(pending.charge.amount)
             (taken if is_allowed else self._waiting).append(pending)
         return taken
 
-    async def _keep_batch(self, batch: list[PendingCharge]) -> None:
-        """Make charges durable here, and hold them until the ledger takes them."""
+    async def _persist_batch(self, batch: list[PendingCharge]) -> None:
+        """Replicate charges, and hold them until the ledger commits them."""
         charges = tuple(pending.charge for pending in batch)
         self._kept.extend(batch)
-        answer = await self._keeper.keep(Kept(self.holder, (), charges), self.reach.may_keep_at)
+        answer = await self._replicator.persist(
+            Kept(self.holder, (), charges), self.reach.may_store_at
+        )
         self.durable = isinstance(answer, Ok)
         for pending in batch:
             pending.answer(answer)
--- a/cranberrywall/budgets/_claims.py
+++ b/cranberrywall/budgets/_claims.py
@@ -1,6 +1,6 @@
-"""Take up what the ledger books to this host and this host does not know of.
+"""Claim amounts that the ledger books to this host and that the host has not recorded.
 
-A peer's transfer whose answer was lost is one such amount, once the peer reported it.
+One such amount is a peer's transfer whose answer was lost, once the peer has reported it.
 """
 
 from cranberrywall.budgets._allotment import Allotment
@@ -9,18 +9,18 @@
 
 
 class Claim:
-    """Compare the ledger's answer with what is held; make one before the ledger is asked."""
+    """Comparison of the ledger's answer with what is held; create it before asking the ledger."""
 
     def __init__(self, allotment: Allotment) -> None:
         self._allotment = allotment
         self._was_settled = allotment.is_settled()
         self._version = allotment.version
 
-    def take_up(self, sums: BudgetResult) -> int:
-        """Add the difference to the allotment; gives what was added.
+    def add_missing(self, sums: BudgetResult) -> int:
+        """Add the difference to the allotment; return the added amount.
 
-        Nothing of this host may have been under way while the ledger answered: then the
-        whole difference is its own, and nobody else can spend it.
+        The claim requires that no step of this host was in flight while the ledger answered. The
+        whole difference is then this host's own, and no other host can spend it.
         """
         allotment = self._allotment
         is_same = self._version == allotment.version
--- a/cranberrywall/budgets/_client.py
+++ b/cranberrywall/budgets/_client.py
@@ -1,4 +1,4 @@
-"""Call ledger groups with typed messages, by the budget that they keep."""
+"""Call ledger groups with typed messages, selected by budget."""
 
 from typing import Any, TypeVar
 
@@ -14,11 +14,11 @@
 
 
 class LedgerClient:
-    """Send commands and queries to the group that keeps a budget.
+    """Send commands and queries to the group that stores a budget.
 
     ``timeout`` is in seconds. ``Err`` is the ledger's own refusal, or ``UNREACHABLE``,
-    ``NOT_CURRENT`` or ``TIMEOUT`` from the way there; after ``TIMEOUT`` the command may
-    have been applied and is safe to send again unchanged.
+    ``NOT_CURRENT`` or ``TIMEOUT`` if the call failed. After ``TIMEOUT`` the command may have been
+    applied; it is idempotent and can be sent again unchanged.
     """
 
     def __init__(self, control: ControlClient, groups: int) -> None:
@@ -26,7 +26,7 @@
         self._groups = groups
 
     def group(self, budget: str) -> str:
-        """Return the name of the group that keeps ``budget``."""
+        """Return the name of the group that stores ``budget``."""
         return ledger_group(budget, self._groups)
 
     def groups(self) -> tuple[str, ...]:
@@ -60,14 +60,14 @@
     async def charge(
         self, command: messages.ChargeBatch, timeout: float
     ) -> Result[messages.ChargeBatchResult, Refusal]:
-        """Charge a batch whose budgets are all kept by one group."""
+        """Charge a batch whose budgets all belong to one group."""
         budget = command.charges[0].budget
         return await self._propose(budget, command, messages.ChargeBatchResult, timeout)
 
     async def correct(
         self, group: str, command: messages.Corrections, timeout: float
     ) -> Result[messages.Accepted, Refusal]:
-        """Correct open charges whose budgets are all kept by one group."""
+        """Correct open charges whose budgets all belong to one group."""
         return await self._propose_to(group, command, messages.Accepted, timeout)
 
     async def transfer(
@@ -79,7 +79,7 @@
     async def transfer_batch(
         self, group: str, command: messages.TransferBatch, timeout: float
     ) -> Result[messages.TransferBatchResult, Refusal]:
-        """Report transfers whose budgets are all kept by one group."""
+        """Report transfers whose budgets all belong to one group."""
         return await self._propose_to(group, command, messages.TransferBatchResult, timeout)
 
     async def recall(
@@ -97,13 +97,13 @@
     async def record_outcome(
         self, command: messages.RecordOutcome, timeout: float
     ) -> Result[messages.IntentResult, Refusal]:
-        """Record what became of such a request; gives what is known after it."""
+        """Record the outcome of such a request; return what is recorded after that."""
         return await self._propose(command.budget, command, messages.IntentResult, timeout)
 
     async def intent(
         self, query: messages.IntentQuery, timeout: float
     ) -> Result[messages.IntentResult, Refusal]:
-        """Ask what is known of such a request."""
+        """Return what is recorded of such a request."""
         return await self._query(self.group(query.budget), query, messages.IntentResult, timeout)
 
     async def budget(
@@ -115,7 +115,7 @@
     async def register(
         self, group: str, command: messages.RegisterHolder, timeout: float
     ) -> Result[messages.RegisterResult, Refusal]:
-        """Announce a holder to one group; send it to each of ``groups()``."""
+        """Register a holder at one group; send it to each of ``groups()``."""
         return await self._propose_to(group, command, messages.RegisterResult, timeout)
 
     async def confirm_dead(
@@ -133,7 +133,7 @@
     async def check_closing(
         self, group: str, command: messages.ClosePeriod, timeout: float
     ) -> Result[messages.ClosePeriodResult, Refusal]:
-        """Ask whether one group could close a period; ask all before closing in any."""
+        """Return whether one group can close a period; ask all groups before closing in any."""
         return await self._query(group, command, messages.ClosePeriodResult, timeout)
 
     async def resolve(
@@ -145,7 +145,7 @@
     async def recalls(
         self, group: str, query: messages.RecallsQuery, timeout: float
     ) -> Result[messages.RecallsResult, Refusal]:
-        """Ask one group which of a holder's allotments were recalled."""
+        """Return which of a holder's allotments one group has recalled."""
         return await self._query(group, query, messages.RecallsResult, timeout)
 
     async def report(
@@ -157,7 +157,7 @@
     async def plan_periods(
         self, group: str, command: messages.PlanPeriods, timeout: float
     ) -> Result[messages.Accepted, Refusal]:
-        """Plan the periods to come in one group; send it to each of ``groups()``."""
+        """Plan future periods in one group; send it to each of ``groups()``."""
         return await self._propose_to(group, command, messages.Accepted, timeout)
 
     async def credits(
@@ -207,7 +207,7 @@
 
 
 def make_ledger_client(control: ControlClient, groups: int) -> LedgerClient:
-    """Return a client for ledgers that are placed on ``groups`` groups."""
+    """Return a client for ledgers that are spread over ``groups`` groups."""
     return LedgerClient(control, groups)
 
 
@@ -215,11 +215,11 @@
     try:
         message = LEDGER_CODEC.decode(data)
     except MalformedMessageError as error:
-        return Err(Refusal(ErrorKind.MALFORMED, f"the ledger's answer is not readable: {error}"))
+        return Err(Refusal(ErrorKind.MALFORMED, f"cannot decode the ledger's answer: {error}"))
     if isinstance(message, messages.Rejected):
         kind = ErrorKind(message.kind)
         return Err(Refusal(kind, message.message, message.field, message.remedy))
     if not isinstance(message, result_type):
         name = type(message).__name__
-        return Err(Refusal(ErrorKind.MALFORMED, f"the ledger answered with {name}"))
+        return Err(Refusal(ErrorKind.MALFORMED, f"unexpected answer of the ledger: {name}"))
     return Ok(message)
--- a/cranberrywall/budgets/_demand.py
+++ b/cranberrywall/budgets/_demand.py
@@ -1,6 +1,6 @@
-"""Follow a rate of spending over two time scales.
+"""Estimate a rate of spending on two time scales.
 
-Times are monotonic seconds; rates are amounts a second.
+Times are in monotonic seconds; rates are amounts per second.
 """
 
 from math import exp
@@ -10,10 +10,10 @@
 
 
 class Demand:
-    """Average a rate over minutes and over an hour.
+    """Average of a rate over some minutes and over an hour.
 
-    Early on, the average divides by the time seen so far, so that the first minutes are
-    not taken for a low rate.
+    Early on, the average is divided by the time observed so far, so that the first minutes do not
+    count as a low rate.
     """
 
     __slots__ = ("_long", "_long_weight", "_short", "_short_weight", "_updated_at")
@@ -41,11 +41,11 @@
 
     @property
     def updated_at(self) -> float:
-        """Return the time of the last call of ``add`` that counted."""
+        """Return the time of the last call of ``add`` that had an effect."""
         return self._updated_at
 
     def rate(self) -> float:
-        """Return the mean of the two scales' rates; 0 before anything was seen."""
+        """Return the mean of the rates on both scales; 0 before any observation."""
         if self._short_weight <= 0.0:
             return 0.0
         short = self._short / self._short_weight
--- a/cranberrywall/budgets/_interfaces.py
+++ b/cranberrywall/budgets/_interfaces.py
@@ -1,4 +1,4 @@
-"""Define what requests use of budgets on an entry host, and what budgets use of others."""
+"""Define the interfaces between requests, budgets and other hosts on an entry host."""
 
 from collections.abc import Sequence
 from typing import Any, Literal, NamedTuple, Protocol
@@ -10,10 +10,10 @@
 
 
 class ReserveRequest(NamedTuple):
-    """Ask for money for one request.
+    """Request to reserve money for one request.
 
-    ``bound`` is the most the request can cost, in the budget's unit (tokens, or 1 for
-    answered requests). ``deadline`` is in monotonic seconds: waiting ends there.
+    ``bound`` is the maximum cost of the request in the budget's unit (tokens, or 1 for answered
+    requests). ``deadline`` is in monotonic seconds; waiting ends then.
     """
 
     workspace: str
@@ -24,67 +24,67 @@
 
 
 class Reservation(Protocol):
-    """Hold money for one request until it is settled or released, exactly once."""
+    """Money reserved for one request until it is settled or released, exactly once."""
 
     @property
     def bound(self) -> int:
-        """Return the amount held."""
+        """Return the reserved amount."""
         ...
 
     async def begin(self, now: float) -> Result[None, Refusal]:
-        """Charge the whole amount before a target can begin to work for the request.
+        """Charge the full amount before a target can start to work on the request.
 
-        Without it, a process that is lost before ``settle`` leaves no trace of what its
-        requests used, and the money is spent a second time. It returns once the charge is
-        durable, as ``settle`` does; on ``Err`` the request must not be sent. ``settle`` then
-        gives back what the request did not cost.
+        Otherwise, if a process is lost before ``settle``, there is no record of what its requests
+        used, and the money is spent a second time. The method returns once the charge is durable,
+        as ``settle`` does; on ``Err`` the request must not be sent. ``settle`` then refunds what
+        the request did not cost.
         """
         ...
 
     async def settle(self, actual: int, now: float) -> Result[None, Refusal]:
         """Charge ``actual`` (at most ``bound``) and free the rest.
 
-        It returns once the charge is durable: committed at the ledger, or, where the
-        ledger is out of reach, synced to this host's disk or held by two peers.
+        The method returns once the charge is durable: committed at the ledger or, if the ledger is
+        out of reach, synced to this host's disk or stored by two peers.
         """
         ...
 
     def release(self, now: float) -> None:
-        """Free the whole amount: the request did not run."""
+        """Free the full amount, because the request did not run."""
         ...
 
 
 class Allotments(Protocol):
-    """Spend from the amounts that this host holds."""
+    """Reserve money from the amounts that this host holds."""
 
     async def reserve(self, request: ReserveRequest, now: float) -> Result[Reservation, Refusal]:
-        """Hold ``request.bound``, without a message where the allotment covers it.
+        """Reserve ``request.bound``, without a message if the allotment covers it.
 
-        ``Err`` is ``BUDGET_EXHAUSTED`` where the ledger said so, or
-        ``BUDGET_UNREACHABLE`` where it could not be asked.
+        ``Err`` is ``BUDGET_EXHAUSTED`` if the ledger reported that, or ``BUDGET_UNREACHABLE`` if it
+        could not be asked.
         """
         ...
 
 
 class HostAllotments(Allotments, Protocol):
-    """Hold one host's allotments through one run of its process."""
+    """Allotments of one host, during one incarnation."""
 
     def try_reserve(self, request: ReserveRequest, now: float) -> Reservation | None:
-        """Hold ``request.bound`` where this host's allotment covers it, without waiting.
+        """Reserve ``request.bound`` if this host's allotment covers it, without waiting.
 
-        ``None`` says only that ``reserve`` must be awaited; it is not a refusal.
+        ``None`` means only that ``reserve`` must be awaited; it is not a refusal.
         """
         ...
 
     async def start(self) -> Result[None, Refusal]:
-        """Recover what an earlier run on this host left, and begin to work.
+        """Recover the records of earlier incarnations on this host, and start the tasks.
 
-        ``Err`` is ``CORRUPT`` where the journal is damaged: the host must not serve.
+        ``Err`` is ``CORRUPT`` if the journal is damaged: the host must not serve then.
         """
         ...
 
     async def stop(self) -> None:
-        """End this host's tasks; what it holds stays booked to it at the ledger."""
+        """Stop this host's tasks; what it holds stays booked to it at the ledger."""
         ...
 
     async def hand_back(self) -> Result[None, Refusal]:
@@ -92,19 +92,19 @@
         ...
 
     def state(self) -> dict[str, Any]:
-        """Describe what this host holds, for the state dump."""
+        """Return what this host holds, for the state dump."""
         ...
 
     def export(self, metrics: Metrics) -> None:
-        """Export what this host holds, and what waits, as metrics; call it once."""
+        """Export metrics of held amounts and queues; call it once."""
         ...
 
 
 class SpendPolicy(NamedTuple):
-    """Weigh overspend's margin against false refusals for one workspace.
+    """Trade-off between the risk of overspending and false refusals, for one workspace.
 
-    ``held_back`` is the share of what is left that stays at the ledger. ``isolated``
-    says what a host does that can make no charge durable: ``refuse`` or ``spend``.
+    ``held_back`` is the share of the unspent money that stays at the ledger. ``isolated`` is what a
+    host does if it cannot make any charge durable: ``refuse`` or ``spend``.
     """
 
     held_back: float = 0.1
@@ -112,9 +112,9 @@
 
 
 class BudgetAssignment(NamedTuple):
-    """Name a budget, and a workspace that spends it.
+    """A budget, and a workspace that spends it.
 
-    ``total`` is what the configuration says is credited in all; 0 where it does not say.
+    ``total`` is the total credit that the configuration names; 0 if it names none.
     """
 
     budget: str
@@ -123,23 +123,23 @@
 
 
 class Policies(Protocol):
-    """Look up the policy in force."""
+    """Look up the active policy."""
 
     def spend_policy(self, workspace: str) -> SpendPolicy:
-        """Return the workspace's policy; the default one where it names none."""
+        """Return the workspace's policy; the default policy if it names none."""
         ...
 
     def budget_assignments(self) -> Sequence[BudgetAssignment]:
-        """Return the budgets of which each host should hold a share before it is asked for."""
+        """Return the budgets of which each host should hold a share before the first request."""
         ...
 
     def allows_isolated_spend(self) -> bool:
-        """Say whether any workspace's policy lets a host spend that is alone."""
+        """Return whether any workspace's policy allows an isolated host to spend."""
         ...
 
 
 class PeerHost(Protocol):
-    """Describe another entry host; ``hosts.HostView`` satisfies it."""
+    """Another entry host; ``hosts.HostView`` satisfies this protocol."""
 
     @property
     def host(self) -> str:
@@ -153,17 +153,17 @@
 
     @property
     def links(self) -> str:
-        """Return the address of its streams."""
+        """Return the address of the host's streams."""
         ...
 
     @property
     def incarnation(self) -> int:
-        """Return the run of the host that is meant."""
+        """Return the incarnation of the host that this object describes."""
         ...
 
 
 class EntryHost(NamedTuple):
-    """Describe an entry host of the configuration in force."""
+    """An entry host of the active configuration."""
 
     host: str
     place: str
@@ -171,8 +171,8 @@
 
 
 class Peers(Protocol):
-    """Know the entry hosts in reach; ``hosts.Membership`` satisfies it."""
+    """Entry hosts in reach; ``hosts.Membership`` satisfies this protocol."""
 
     def alive(self) -> Sequence[PeerHost]:
-        """Return the hosts that are alive; this one may be among them."""
+        """Return the hosts that are alive; this host may be among them."""
         ...
--- a/cranberrywall/budgets/_journal.py
+++ b/cranberrywall/budgets/_journal.py
@@ -1,8 +1,9 @@
-"""Keep charges and transfers on this host's disk while the ledger does not have them.
+"""Store charges and transfers on this host's disk while the ledger does not have them.
 
-While the ledger is out of reach the journal also holds a checkpoint of what the host
-held at that moment. A restart then goes on under the old incarnation's numbers: the
-checkpoint less what was spent since. In reach nothing but transfers is written.
+While the ledger is out of reach, the journal also contains a checkpoint of what the host held when
+it lost the ledger. After a restart the host continues under the old incarnation's numbers, with the
+checkpoint's amounts less what was spent since. While the ledger is in reach, only transfers are
+written.
 """
 
 from collections.abc import Collection, Sequence
@@ -10,8 +11,8 @@
 
 from result import Err, Ok, Result
 
-from cranberrywall.budgets._allotment import Numbers
-from cranberrywall.budgets._charge_replication import Allows, Kept
+from cranberrywall.budgets._allotment import StepNumbers
+from cranberrywall.budgets._charge_replication import HostFilter, Kept
 from cranberrywall.budgets.messages import Charge, Holder, Transfer
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.links import MalformedMessageError, MessageCodec
@@ -20,21 +21,21 @@
 from cranberrywall.runtime import AppendFile, Storage
 
 FILE = "budgets/journal"
-# The file is written anew where it has this size and most of it is no longer needed.
+# The file is rewritten if it exceeds this size and most of it is obsolete.
 COMPACT_BYTES = 1 << 20
 
 
 class HeldRow(NamedTuple):
-    """Describe one budget in a checkpoint: what the host may spend or has not committed."""
+    """One budget in a checkpoint; ``held`` is what the host may spend or has not committed."""
 
     budget: str
     workspace: str
     held: int
-    numbers: Numbers
+    numbers: StepNumbers
 
 
 class Checkpoint(NamedTuple):
-    """Hold what ``holder`` held at one ledger group when it fell out of reach."""
+    """What ``holder`` held at one ledger group when the group became unreachable."""
 
     group: str
     holder: Holder
@@ -42,13 +43,13 @@
 
 
 class InReach(NamedTuple):
-    """End the group's checkpoint: what the host holds now is not in the journal."""
+    """End of a group's checkpoint: what the host holds now is not in the journal."""
 
     group: str
 
 
 class Committed(NamedTuple):
-    """Name what the ledger has: transfers by giver and number, charges by number."""
+    """Records that the ledger has: transfers by donor and number, charges by number."""
 
     holder: Holder
     transfers: tuple[tuple[str, Holder, int], ...]
@@ -56,14 +57,14 @@
 
 
 class Recovered(NamedTuple):
-    """Hold what earlier runs left: allotments to go on with, and what to deliver."""
+    """Data from earlier incarnations: allotments to resume, and records to deliver."""
 
     checkpoints: tuple[Checkpoint, ...]
     kept: tuple[Kept, ...]
 
 
 class _Batch(NamedTuple):
-    """Hold the records of one write: all of them last, or none."""
+    """Records of one write, which is atomic: all of them are durable, or none."""
 
     records: tuple[bytes, ...]
 
@@ -79,10 +80,10 @@
 
 
 class _TransferKey(NamedTuple):
-    """Name a transfer and the host that has to report it.
+    """Key of a transfer and of the host that has to report it.
 
-    Both ends report, and a giver with a disk may also keep the report of a taker that has
-    none: the two entries are dropped at different times.
+    Both ends report a transfer. A donor with a disk may also store the report of a recipient
+    without one, and the two entries are dropped at different times.
     """
 
     reporter: str
@@ -95,8 +96,8 @@
     return _TransferKey(holder.host, transfer.giver, transfer.budget, transfer.giver_number)
 
 
-class _Live:
-    """Hold what the records so far leave to be done."""
+class _LiveRecords:
+    """State that results from the records so far: what must still be delivered."""
 
     def __init__(self) -> None:
         self.charge_by_key: dict[_ChargeKey, Charge] = {}
@@ -107,15 +108,15 @@
     def apply(self, record: _Record) -> None:
         match record:
             case Kept():
-                self._keep(record)
+                self._apply_kept(record)
             case Committed():
-                self._commit(record)
+                self._apply_committed(record)
             case Checkpoint():
                 self.checkpoint_by_group[record.group] = record
             case InReach():
                 self.checkpoint_by_group.pop(record.group, None)
 
-    def _keep(self, kept: Kept) -> None:
+    def _apply_kept(self, kept: Kept) -> None:
         for charge in kept.charges:
             key = _ChargeKey(kept.holder, charge.budget, charge.number)
             self.charge_by_key[key] = charge
@@ -123,10 +124,10 @@
             to_report = _transfer_key(kept.holder, transfer)
             self.transfer_by_key[to_report] = transfer
             self.reporter_by_key[to_report] = kept.holder
-            self._move(kept.holder, transfer)
+            self._apply_transfer(kept.holder, transfer)
 
-    def _move(self, holder: Holder, transfer: Transfer) -> None:
-        """Change the checkpoints by a transfer that was made after them."""
+    def _apply_transfer(self, holder: Holder, transfer: Transfer) -> None:
+        """Apply a transfer that was made after the checkpoints to them."""
         change = transfer.amount if transfer.taker == holder else -transfer.amount
         for group, checkpoint in list(self.checkpoint_by_group.items()):
             rows = tuple(
@@ -136,7 +137,7 @@
             if checkpoint.holder == holder:
                 self.checkpoint_by_group[group] = checkpoint._replace(rows=rows)
 
-    def _commit(self, record: Committed) -> None:
+    def _apply_committed(self, record: Committed) -> None:
         for budget, number in record.charges:
             self.charge_by_key.pop(_ChargeKey(record.holder, budget, number), None)
         for budget, giver, number in record.transfers:
@@ -162,17 +163,17 @@
 
 
 class Journal:
-    """Append records and sync each before the call returns."""
+    """Append records, and sync each write before the call returns."""
 
     def __init__(self, storage: Storage) -> None:
         self._storage = storage
-        self._live = _Live()
+        self._live = _LiveRecords()
         self._file: AppendFile | None = None
         self._size = 0
         self._writing = 0
 
     async def open(self) -> Result[Recovered, Refusal]:
-        """Read what earlier runs left, and open the file for more."""
+        """Read the records of earlier incarnations, and open the file for appending."""
         return await self._storage.run_blocking(self._open)
 
     def _open(self) -> Result[Recovered, Refusal]:
@@ -187,27 +188,29 @@
         except MalformedMessageError as error:
             return Err(Refusal(ErrorKind.CORRUPT, f"{FILE}: {error}"))
         if sound_size < len(data):
-            # A crash tore the last record; nobody was told that it was kept.
+            # A crash tore the last record. No host was informed that it was stored.
             self._storage.truncate(FILE, sound_size)
         self._file = self._storage.open_append(FILE)
         self._size = sound_size
         checkpoints = tuple(self._live.checkpoint_by_group.values())
         return Ok(Recovered(checkpoints, tuple(self._live.kept())))
 
-    def choose(self, now: float) -> Collection[Holder]:
-        """Return no peer: the disk keeps all."""
+    def choose_replica_holders(self, now: float) -> Collection[Holder]:
+        """Return no peer: the disk stores everything."""
         return ()
 
-    async def keep(self, kept: Kept, allows: Allows | None = None) -> Result[None, Refusal]:
+    async def persist(
+        self, kept: Kept, is_allowed: HostFilter | None = None
+    ) -> Result[None, Refusal]:
         """Return once ``kept`` is synced."""
         return await self._write([kept])
 
-    def can_keep(self, allows: Allows) -> bool:
-        """Say whether the file takes more."""
+    def can_persist(self, is_allowed: HostFilter) -> bool:
+        """Return whether the file is open for writing."""
         return self._file is not None
 
     async def committed(self, kept: Kept) -> None:
-        """Note what the ledger has, where the journal may hold it."""
+        """Record what the ledger has, if the journal may contain it."""
         live = self._live
         if not (live.charge_by_key or live.transfer_by_key or self._writing):
             return
@@ -218,14 +221,14 @@
     async def out_of_reach(
         self, checkpoint: Checkpoint, unreported: tuple[Transfer, ...]
     ) -> Result[None, Refusal]:
-        """Note what this host holds, and the transfers to it that the ledger has not heard of.
+        """Record what this host holds, and the transfers to it that the ledger does not have.
 
-        The transfers go first: what they brought is in the checkpoint already.
+        The transfers come first: the amounts that they brought are already in the checkpoint.
         """
         return await self._write([Kept(checkpoint.holder, unreported, ()), checkpoint])
 
     async def in_reach(self, group: str) -> Result[None, Refusal]:
-        """Drop the checkpoint: the ledger is in reach and steps are no longer written."""
+        """Drop the checkpoint: the ledger is in reach, and steps are no longer written."""
         return await self._write([InReach(group)])
 
     async def _write(self, records: Sequence[_Record]) -> Result[None, Refusal]:
@@ -247,8 +250,9 @@
             if self._size > COMPACT_BYTES:
                 self._compact()
         except OSError as error:
-            # What a failed sync wrote may or may not be there, and nothing after it can be
-            # trusted to last: the file takes no more in this run.
+            # After a failed sync the written data may or may not be on disk, and nothing that
+            # follows it would be reliably durable. The file is not written again in this
+            # incarnation.
             self._file = None
             log_event("ERROR", "journal_failed", error=error)
             return Err(Refusal(ErrorKind.STORAGE_FAILED, f"{FILE}: {error}"))
@@ -259,7 +263,7 @@
             self._live.apply(record)
 
     def _compact(self) -> None:
-        """Write what is still needed to a new file: kept first, as checkpoints follow it."""
+        """Write the live records to a new file: ``Kept`` first, since checkpoints follow them."""
         assert self._file is not None
         records: list[_Record] = [*self._live.kept(), *self._live.checkpoint_by_group.values()]
         batch = _Batch(tuple(map(_CODEC.encode, records)))
--- a/cranberrywall/budgets/_peer_messages.py
+++ b/cranberrywall/budgets/_peer_messages.py
@@ -10,12 +10,12 @@
 
 
 class TakeRequest(NamedTuple):
-    """Ask a peer for money of ``budget``: ``amount``, or at least ``minimum``.
+    """Request to a peer for money of ``budget``: ``amount``, or at least ``minimum``.
 
-    ``number`` is drawn at random and names the request: a repeated one gets the first
-    answer. ``taker_number`` is the number that a transfer will have at the taker. ``giver`` is
-    the run that is asked: a later one does not know whether it was answered, and refuses.
-    ``asked_clock`` is the taker's steady clock, in seconds.
+    ``number`` is random and identifies the request: a repeated one gets the first answer.
+    ``taker_number`` is the number of a resulting transfer at the recipient. ``giver`` is the
+    incarnation that is asked: a later one has no record of whether the request was answered, and
+    refuses it. ``asked_clock`` is the recipient's monotonic clock, in seconds.
     """
 
     budget: str
@@ -30,12 +30,12 @@
 
 
 class TakeReply(NamedTuple):
-    """Give a transfer, or none, with what the giver still holds after it.
+    """Transfer that the peer gives, or none, and what the peer holds after it.
 
-    ``is_reported`` says that the ledger has the transfer; else the taker reports it.
+    ``is_reported`` states that the ledger has the transfer; otherwise the recipient reports it.
 
-    ``booked`` is all that the ledger books to the giver; the part of it that is neither
-    spendable nor given may come free later.
+    ``booked`` is all that the ledger books to the donor; the part that is neither spendable nor
+    given may be freed later.
     """
 
     giver: Holder
@@ -46,7 +46,7 @@
 
 
 class KeepRequest(NamedTuple):
-    """Ask a peer to hold transfers and charges of ``holder`` until the ledger has them."""
+    """Request to a peer to store transfers and charges of ``holder`` until the ledger has them."""
 
     holder: Holder
     transfers: tuple[Transfer, ...]
@@ -54,13 +54,13 @@
 
 
 class KeepReply(NamedTuple):
-    """Say that the peer holds them; ``on_disk`` that they are synced to its disk."""
+    """Confirmation that the peer stores them; ``on_disk`` if they are synced to its disk."""
 
     on_disk: bool
 
 
 class ForgetRequest(NamedTuple):
-    """Tell a peer that the ledger has these: transfers by giver, all by budget and number."""
+    """Notice that the ledger has these: transfers by donor, all by budget and number."""
 
     holder: Holder
     transfers: tuple[tuple[str, Holder, int], ...]
@@ -68,20 +68,20 @@
 
 
 class ForgetReply(NamedTuple):
-    """Say that the peer dropped them."""
+    """Confirmation that the peer discarded them."""
 
 
 class DeliverRequest(NamedTuple):
-    """Ask a peer to commit what it holds for incarnations of ``host`` before this one."""
+    """Request to commit what a peer stores for incarnations of ``host`` before this one."""
 
     host: str
     incarnation: int
 
 
 class DeliverReply(NamedTuple):
-    """Say how many entries the peer still holds after it tried, and who it is.
+    """Number of records that the peer still stores after its attempt, and the peer's identity.
 
-    ``on_disk`` says that what it held was on its disk too, so that it forgot nothing.
+    ``on_disk`` states that its records were also on its disk, so that a restart lost none.
     """
 
     remaining: int
--- a/cranberrywall/budgets/_pending.py
+++ b/cranberrywall/budgets/_pending.py
@@ -1,4 +1,4 @@
-"""Hold a charge until the ledger has answered for it."""
+"""Represent a charge until the ledger has answered it."""
 
 import asyncio
 from typing import NamedTuple, Protocol
@@ -11,14 +11,14 @@
 
 
 class ChargedAllotment(Protocol):
-    """Hold the money that charges are made against."""
+    """Account against which charges are made."""
 
-    def try_keep_unseen(self, amount: int) -> bool:
-        """Count a charge as kept out of the ledger's sight, where its bound allows that now."""
+    def try_persist_unreported(self, amount: int) -> bool:
+        """Count a charge as spent without the ledger, if the bound allows that now."""
         ...
 
     def committed(self, amount: int) -> None:
-        """Forget a charge that the ledger has billed."""
+        """Remove a charge that the ledger has billed."""
         ...
 
     def granted(self, amount: int) -> None:
@@ -26,7 +26,7 @@
         ...
 
     def refunded(self, amount: int) -> None:
-        """Add what the ledger gave back of an open charge."""
+        """Add what the ledger refunded of an open charge."""
         ...
 
     def drop(self, amount: int) -> None:
@@ -34,7 +34,7 @@
         ...
 
     def take_charge_number(self) -> int:
-        """Return the next charge's number, and count it as used."""
+        """Return the next charge's number and count it as used."""
         ...
 
 
@@ -44,16 +44,16 @@
     done: "asyncio.Future[Result[None, Refusal]] | None"
 
     def answer(self, result: Result[None, Refusal]) -> None:
-        """Answer the request that waits, unless it went away or was answered before."""
+        """Answer the waiting request, unless it was cancelled or answered before."""
         if self.done is not None and not self.done.done():
             self.done.set_result(result)
 
 
-def note_outcome(pending: PendingCharge, outcome: ChargeOutcome) -> None:
-    """Log a charge that the ledger did not bill, and free what it left in the allotment."""
+def log_outcome(pending: PendingCharge, outcome: ChargeOutcome) -> None:
+    """Log a charge that the ledger did not bill, and free the amount of a duplicate."""
     charge = pending.charge
     if outcome is ChargeOutcome.DUPLICATE:
-        # The ledger left the amount in our allotment: it can be spent again.
+        # The ledger left the amount in this host's allotment, so it can be spent again.
         pending.allotment.granted(charge.amount)
     log_event(
         "WARNING",
--- a/cranberrywall/budgets/_reservation.py
+++ b/cranberrywall/budgets/_reservation.py
@@ -1,4 +1,4 @@
-"""Hold one request's money until it is settled or released."""
+"""Reserve one request's money until it is settled or released."""
 
 from result import Err, Ok, Result
 
@@ -10,7 +10,7 @@
 
 
 class HeldReservation:
-    """Hold money of one allotment; it counts as spent until ``settle`` or ``release``."""
+    """Reservation of money from one allotment; counts as spent until ``settle`` or ``release``."""
 
     __slots__ = ("_allotment", "_charge", "_open", "_request", "_reserved_at", "bound")
 
@@ -28,7 +28,7 @@
         self._charge: Charge | None = None
 
     async def begin(self, now: float) -> Result[None, Refusal]:
-        """Charge the whole bound, and return once that is durable."""
+        """Charge the full bound and return once the charge is durable."""
         request = self._request
         number = self._allotment.open(self.bound)
         self._charge = Charge(
@@ -43,7 +43,7 @@
         return await self._allotment.queue.add(self._charge, self._allotment)
 
     async def settle(self, actual: int, now: float) -> Result[None, Refusal]:
-        """Charge ``actual``, capped at the bound, and return once that is durable."""
+        """Charge ``actual``, capped at the bound, and return once the charge is durable."""
         if not self._open:
             return Ok(None)
         self._open = False
@@ -53,8 +53,8 @@
         request = self._request
         amount = actual
         if actual > self.bound:
-            # The target ran past the limit it was given. The caller's budget must not
-            # pay for that: the invariant covers only what was reserved.
+            # The target exceeded the limit that it was given. The caller's budget must not pay for
+            # that: only the reserved amount is guaranteed to be available.
             amount = self.bound
             log_event(
                 "WARNING",
@@ -75,12 +75,13 @@
         )
         settled = await self._allotment.queue.add(charge, self._allotment)
         if isinstance(settled, Err) and self._allotment.policy.isolated == "spend":
-            # The policy takes the risk that this host is lost before it is in reach again.
+            # The policy accepts the risk that this host is lost before it reaches the ledger
+            # again.
             return Ok(None)
         return settled
 
     def release(self, now: float) -> None:
-        """Free the whole amount; a second call does nothing."""
+        """Free the full amount; a second call does nothing."""
         if not self._open:
             return
         self._open = False
@@ -91,5 +92,5 @@
 
     def _correct(self, charge: Charge, actual: int) -> None:
         amount = min(actual, charge.amount)
-        self._allotment.note_cost(charge.amount, amount)
+        self._allotment.record_cost(charge.amount, amount)
         self._allotment.queue.correct(charge, amount, self._allotment)
--- a/cranberrywall/budgets/_sizing.py
+++ b/cranberrywall/budgets/_sizing.py
@@ -1,8 +1,8 @@
 """Decide how much of a budget a host should hold.
 
-Before a partition each side should hold what it will need in it. Nobody knows which
-side will keep the ledger, so each host holds its share of all that is left, by its
-share of the recent spending, less the part held back at the ledger.
+Before a network partition each side should hold what it will need during it. No host can know which
+side will reach the ledger. Each host therefore holds a share of the unspent money in proportion to
+its recent spending, less the part withheld at the ledger.
 """
 
 from collections.abc import Iterable, Sequence
@@ -13,22 +13,22 @@
 from cranberrywall.budgets._interfaces import EntryHost
 from cranberrywall.budgets.messages import BudgetResult, DrawResult
 
-# Part of the shares that is spread evenly: demand shifts to hosts that had none lately.
-EVEN_PART = 0.4
-# A host holds no more than it would spend in this time at its rate; the rest stays free.
+# Part of the money that is shared evenly, because demand moves to hosts that had none recently.
+EVEN_SHARE = 0.4
+# A host holds no more than it would spend in this time at its current rate; the rest stays free.
 HORIZON_S = 24 * 3600.0
-# In its place a host with a disk holds this many times what one without does.
+# Within its place, a host with a disk holds this many times what a host without one holds.
 DISK_WEIGHT = 8.0
-# Below this many usual requests' bounds, a part is too small to be worth holding.
-WORTH_HOLDING = 2.0
-ANY_PARTS = 1_000_000
-# Outside this band around its target a host draws or returns.
+# A part smaller than this many bounds of typical requests is too small to be worth holding.
+MIN_REQUESTS_PER_PART = 2.0
+UNLIMITED_PARTS = 1_000_000
+# A host draws or returns money if its holding is outside this band around its target amount.
 LOW_BAND = 0.75
 HIGH_BAND = 1.5
 
 
 class LedgerView(NamedTuple):
-    """Hold the ledger's sums of one budget as last heard, ``at`` monotonic seconds."""
+    """Ledger's sums of one budget as last received, ``at`` monotonic seconds."""
 
     free: int
     outstanding: int
@@ -38,20 +38,20 @@
 
     @property
     def left(self) -> int:
-        """Return what is not charged yet."""
+        """Return the credited amount that is not charged yet."""
         return self.credited - self.charged
 
 
 def view_of(sums: BudgetResult | DrawResult, now: float) -> LedgerView:
-    """Return the view that the ledger's answer at ``now`` gives."""
+    """Return the view of an answer that the ledger gave at ``now``."""
     return LedgerView(sums.free, sums.outstanding, sums.credited, sums.charged, now)
 
 
-class Rates(NamedTuple):
-    """Give this host's rate of spending and all hosts', and its part in its place.
+class SpendRates(NamedTuple):
+    """Spending rates of this host and of all hosts, and this host's part of its place.
 
-    ``in_place`` is the number of hosts that share the place's callers evenly, and
-    ``part`` the part of the place's money that this one holds, between 0 and 1.
+    ``in_place`` is the number of hosts that share the place's callers evenly, and ``part`` the part
+    of the place's money that this host holds, between 0 and 1.
     """
 
     own: float
@@ -61,16 +61,17 @@
     part: float = 1.0
 
 
-def share(rates: Rates) -> float:
+def share(rates: SpendRates) -> float:
     """Return this host's share of all money, between 0 and 1.
 
-    A place's share follows its spending, as its hosts can pass money on in most cuts.
+    A place's share follows its spending, because its hosts can transfer money to each other in most
+    network partitions.
 
-    >>> share(Rates(own=0.0, total=0.0, hosts=4))
+    >>> share(SpendRates(own=0.0, total=0.0, hosts=4))
     0.25
-    >>> round(share(Rates(own=3.0, total=4.0, hosts=4)), 3)
+    >>> round(share(SpendRates(own=3.0, total=4.0, hosts=4)), 3)
     0.55
-    >>> round(share(Rates(own=1.0, total=4.0, hosts=4, in_place=2, part=0.8)), 3)
+    >>> round(share(SpendRates(own=1.0, total=4.0, hosts=4, in_place=2, part=0.8)), 3)
     0.4
     """
     even = rates.in_place / max(1, rates.hosts)
@@ -78,17 +79,17 @@
     total = max(rates.total, own_place)
     if total <= 0.0:
         return even * rates.part
-    return ((1.0 - EVEN_PART) * own_place / total + EVEN_PART * even) * rates.part
+    return ((1.0 - EVEN_SHARE) * own_place / total + EVEN_SHARE * even) * rates.part
 
 
-def part_in_place(host: str, place_hosts: Sequence[EntryHost]) -> float:
+def share_of_place(host: str, place_hosts: Sequence[EntryHost]) -> float:
     """Return the part of its place's money that ``host`` holds.
 
-    A host with a disk goes on spending where it is cut off alone; one without cannot make
-    its charges last there, and what it holds is of use to nobody until the cut is mended.
+    A host with a disk can keep spending while it is isolated. A host without one cannot make its
+    charges durable then, and no host can use its money until the partition ends.
 
     >>> hosts = [EntryHost("a", "p", True), EntryHost("b", "p", False)]
-    >>> round(part_in_place("a", hosts), 3), round(part_in_place("b", hosts), 3)
+    >>> round(share_of_place("a", hosts), 3), round(share_of_place("b", hosts), 3)
     (0.889, 0.111)
     """
     weight_by_host = {one.host: DISK_WEIGHT if one.disk else 1.0 for one in place_hosts}
@@ -96,39 +97,40 @@
     return weight_by_host.get(host, total) / total if total > 0.0 else 1.0
 
 
-def homes(budget: str, hosts: Iterable[str]) -> list[str]:
-    """Return the hosts in the order in which they hold a budget that is too small for all.
+def preferred_holders(budget: str, hosts: Iterable[str]) -> list[str]:
+    """Return the hosts in the order in which they hold a budget that is too small for all of them.
 
-    All hosts order them alike, by a hash of host and budget (rendezvous hashing): one that looks
-    for the last of a budget finds it at the first hosts, and a host that leaves changes little.
+    All hosts compute the same order, by a hash of host and budget (rendezvous hashing). A host that
+    searches for the last of a budget finds it at the first hosts, and a host that leaves changes
+    the order little.
 
-    >>> homes("desk", ["a", "b", "c"]) == homes("desk", ["c", "a", "b"])
+    >>> preferred_holders("desk", ["a", "b", "c"]) == preferred_holders("desk", ["c", "a", "b"])
     True
     """
     return sorted(hosts, key=lambda host: xxhash.xxh64_intdigest(f"{host}\n{budget}".encode()))
 
 
-def parts_of(left: float, held_back: float, request: float) -> int:
-    """Return in how many parts a budget may lie that are each worth holding, 1 at least.
+def max_parts(left: float, held_back: float, request: float) -> int:
+    """Return into how many parts a budget can be split that are each worth holding, at least 1.
 
-    ``request`` is the bound of a usual request; 0 where none is known yet.
+    ``request`` is the bound of a typical request; 0 if none was seen yet.
 
-    >>> parts_of(1000.0, 0.1, 100.0), parts_of(150.0, 0.1, 100.0)
+    >>> max_parts(1000.0, 0.1, 100.0), max_parts(150.0, 0.1, 100.0)
     (4, 1)
     """
     if request <= 0.0:
-        return ANY_PARTS
-    return max(1, int(left * (1.0 - held_back) / (WORTH_HOLDING * request)))
+        return UNLIMITED_PARTS
+    return max(1, int(left * (1.0 - held_back) / (MIN_REQUESTS_PER_PART * request)))
 
 
-def target(left: float, rates: Rates, held_back: float) -> int:
-    """Return what this host should hold of ``left``.
+def target_amount(left: float, rates: SpendRates, held_back: float) -> int:
+    """Return the part of ``left`` that this host should hold.
 
-    >>> target(1000.0, Rates(own=1.0, total=2.0, hosts=2), held_back=0.2)
+    >>> target_amount(1000.0, SpendRates(own=1.0, total=2.0, hosts=2), held_back=0.2)
     400
     """
     by_share = left * share(rates) * (1.0 - held_back)
     if rates.own <= 0.0:
         return int(by_share)
     horizon = rates.own * rates.in_place * rates.part * HORIZON_S
-    return int(min(by_share, max(horizon, left * EVEN_PART / max(1, rates.hosts))))
+    return int(min(by_share, max(horizon, left * EVEN_SHARE / max(1, rates.hosts))))
--- a/cranberrywall/budgets/_transfer_reports.py
+++ b/cranberrywall/budgets/_transfer_reports.py
@@ -20,34 +20,34 @@
 from cranberrywall.observability import log_event
 from cranberrywall.runtime import Clock
 
-# A transfer that waits for another host's report is tried again after this, in seconds, then ever
-# more rarely: hosts that were cut off together report at the same time.
-RETRY_FIRST_S = 0.05
-# Each pause is longer than the last by this factor: what waits for a host that is back a second
-# after this one is tried again within a quarter of that.
+# A transfer that waits for another host's report is retried after this time, in seconds, then at
+# growing intervals: hosts that were isolated together report at the same time.
+MIN_RETRY_DELAY_S = 0.05
+# Factor by which each pause exceeds the last. A transfer that waits for a host that is back a
+# second after this one is retried within a quarter of that time.
 RETRY_GROWTH = 1.25
-# A transfer whose giver is lost is tried again this often at least, in seconds: one small call.
-RETRY_MOST_S = 1.0
+# Maximum pause, in seconds, while the donor of a transfer is lost; a retry is one small call.
+MAX_RETRY_DELAY_S = 1.0
 
 
 _Report = tuple[Transfer, ChargedAllotment | None]
 
 
 class TransferReports:
-    """Hold the transfers that the ledger has not confirmed, in their order."""
+    """Queue of transfers that the ledger has not confirmed, in their order."""
 
     def __init__(
         self,
         group: str,
         ledger: LedgerClient,
-        keeper: ChargeReplicator,
+        replicator: ChargeReplicator,
         clock: Clock,
         timeout_s: float,
     ) -> None:
-        """``timeout_s`` is how long the ledger may take for a batch."""
+        """Create a queue; ``timeout_s`` limits the ledger's time for a batch."""
         self._group = group
         self._ledger = ledger
-        self._keeper = keeper
+        self._replicator = replicator
         self._clock = clock
         self._timeout_s = timeout_s
         self._waiting: deque[_Report] = deque()
@@ -55,21 +55,21 @@
         self._due_at = 0.0
 
     def __len__(self) -> int:
-        """Return the number of transfers that wait."""
+        """Return the number of queued transfers."""
         return len(self._waiting)
 
     @property
     def transfers(self) -> tuple[Transfer, ...]:
-        """Return the transfers that wait."""
+        """Return the queued transfers."""
         return tuple(transfer for transfer, _ in self._waiting)
 
     def unfunded_budgets(self) -> set[str]:
-        """Return the budgets in which this host was given money that is not reported yet."""
-        return {transfer.budget for transfer, taken_by in self._waiting if taken_by}
+        """Return the budgets in which this host received money that is not reported yet."""
+        return {transfer.budget for transfer, recipient in self._waiting if recipient}
 
-    def add(self, transfer: Transfer, taken_by: ChargedAllotment | None) -> None:
-        """Queue a transfer, to be reported at once."""
-        self._waiting.append((transfer, taken_by))
+    def add(self, transfer: Transfer, recipient: ChargedAllotment | None) -> None:
+        """Queue a transfer that is to be reported immediately."""
+        self._waiting.append((transfer, recipient))
         self._due_at = 0.0
 
     def extend(self, more: Iterable[tuple[Transfer, ChargedAllotment | None]]) -> None:
@@ -77,7 +77,7 @@
         self._waiting.extend(more)
 
     async def report_all(self, holder: Holder) -> Result[None, Refusal]:
-        """Report all transfers once; those whose money is not reported yet stay in line."""
+        """Report all transfers once; those that the ledger cannot fund yet stay queued."""
         if self._clock.now() < self._due_at:
             return Ok(None)
         count = len(self._waiting)
@@ -88,34 +88,35 @@
             answer = await self._ledger.transfer_batch(self._group, command, self._timeout_s)
             if isinstance(answer, Err):
                 return Err(answer.err_value)
-            # Until now they count as unknown to the ledger; others came behind them at most.
+            # Until now they count as not received by the ledger. Meanwhile others can only have
+            # been added behind them.
             for _ in batch:
                 self._waiting.popleft()
-            await self._conclude(holder, batch, answer.ok_value.outcomes)
-        self._rest()
+            await self._apply_outcomes(holder, batch, answer.ok_value.outcomes)
+        self._schedule_retry()
         return Ok(None)
 
-    async def _conclude(
+    async def _apply_outcomes(
         self, holder: Holder, batch: Sequence[_Report], outcomes: Sequence[TransferOutcome]
     ) -> None:
         done = []
-        for (transfer, taken_by), outcome in zip(batch, outcomes, strict=True):
+        for (transfer, recipient), outcome in zip(batch, outcomes, strict=True):
             if outcome.kind == ErrorKind.NOT_READY:
-                self._waiting.append((transfer, taken_by))
+                self._waiting.append((transfer, recipient))
                 continue
             if outcome.kind:
                 log_event("ERROR", "transfer_refused", kind=outcome.kind, reason=outcome.message)
-            if taken_by is not None and outcome.moved < transfer.amount:
-                # The giver's remainder had come back and was spent elsewhere.
-                taken_by.drop(transfer.amount - outcome.moved)
+            if recipient is not None and outcome.moved < transfer.amount:
+                # The donor's remainder had been released and spent elsewhere.
+                recipient.drop(transfer.amount - outcome.moved)
             done.append(transfer)
         if done:
-            await self._keeper.committed(Kept(holder, tuple(done), ()))
+            await self._replicator.committed(Kept(holder, tuple(done), ()))
 
-    def _rest(self) -> None:
-        """Try what is left again later: the host it waits for may be lost for long."""
+    def _schedule_retry(self) -> None:
+        """Schedule the next attempt; the host that a transfer waits for may be lost for long."""
         if not self._waiting:
             self._pause_s = 0.0
             return
-        self._pause_s = min(RETRY_MOST_S, max(RETRY_FIRST_S, RETRY_GROWTH * self._pause_s))
+        self._pause_s = min(MAX_RETRY_DELAY_S, max(MIN_RETRY_DELAY_S, RETRY_GROWTH * self._pause_s))
         self._due_at = self._clock.now() + self._pause_s
--- a/cranberrywall/budgets/_unreported_spend.py
+++ b/cranberrywall/budgets/_unreported_spend.py
@@ -1,44 +1,44 @@
-"""Bound what a host spends of one budget while the ledger has not heard of it.
+"""Bound what a host spends of one budget without a report to the ledger.
 
-The ledger frees what a lost host cannot have spent, by how long it had been silent. So the host
-keeps to that bound: a share of what it has, which rises with its silence, and all that others
-gave it meanwhile.
+The ledger frees the money that a lost host cannot have spent, based on the time since its last
+contact. The host therefore observes the same bound: a share of what it holds, which rises with the
+time since the last contact, plus everything that other hosts gave it meanwhile.
 """
 
-from cranberrywall.budgets._reach import Reach
+from cranberrywall.budgets._ledger_reach import LedgerReach
 
 
 class UnreportedSpend:
-    """Count what is kept, given and got since the ledger last heard of all that was before.
+    """Counts of amounts kept, given and received since the ledger had a complete report.
 
-    ``kept`` are charges, ``given`` transfers to peers, and ``received`` those from peers. What is
-    spent counts until an answer shows that the ledger was told of it, and what is received only
-    until the next command goes out: either message may be lost, and the bound has to hold with the
-    ledger that got it as with the one that did not.
+    ``kept`` are replicated charges, ``given`` transfers to peers, and ``received`` transfers from
+    peers. Spent amounts count until an answer shows that the ledger has received a report of them.
+    Received amounts count only until the next command is sent. Either message may be lost, and the
+    bound must hold whether or not the ledger received the command.
     """
 
-    __slots__ = ("_heard_at", "_told_at", "given", "kept", "received")
+    __slots__ = ("_last_confirmed_at", "_last_sent_at", "given", "kept", "received")
 
     def __init__(self) -> None:
-        self._heard_at = float("-inf")
-        self._told_at = float("-inf")
+        self._last_confirmed_at = float("-inf")
+        self._last_sent_at = float("-inf")
         self.kept = 0
         self.given = 0
         self.received = 0
 
-    def renew(self, reach: Reach) -> None:
-        """Begin anew where the ledger has been told since, or has answered."""
-        if self._told_at != reach.told_at:
-            self._told_at = reach.told_at
+    def reset_outdated(self, reach: LedgerReach) -> None:
+        """Reset the counts that a sent or an answered command made obsolete."""
+        if self._last_sent_at != reach.last_sent_at:
+            self._last_sent_at = reach.last_sent_at
             self.received = 0
-        if self._heard_at != reach.heard_at:
-            self._heard_at = reach.heard_at
+        if self._last_confirmed_at != reach.last_confirmed_at:
+            self._last_confirmed_at = reach.last_confirmed_at
             self.kept = self.given = 0
 
-    def own(self, held: int) -> int:
-        """Return what the host had as the ledger fell silent; it has ``held`` left of it."""
+    def initial_amount(self, held: int) -> int:
+        """Return what the host held when it lost the ledger; it has ``held`` left of that."""
         return held + self.kept + self.given - self.received
 
-    def left(self, held: int, share: float) -> int:
-        """Return what may still be spent: ``share`` of the host's own, and what it was given."""
-        return int(share * self.own(held)) + self.received - self.kept - self.given
+    def remaining(self, held: int, share: float) -> int:
+        """Return what may still be spent: ``share`` of the host's own, plus what peers gave."""
+        return int(share * self.initial_amount(held)) + self.received - self.kept - self.given
--- a/tests/budgets/first_schedules.py
+++ b/tests/budgets/first_schedules.py
@@ -1,11 +1,11 @@
-"""Play a random schedule of requests and troubles on a fleet, and watch the money.
+"""Run a random schedule of requests and failures on a fleet, and track overspending.
 
-The fleet is the real allotments and the real ledger on fake links in virtual time. What a
-request may have got counts from the moment in which its charge was durable: its whole bound
-until it is settled, what it used after that, and its whole bound where its host was killed.
+The fleet consists of the real allotments and the real ledger, on fake connections in virtual time.
+A request may have consumed money from the moment when its charge is durable: its full bound until
+it is settled, the amount used after that, and its full bound if its host was killed.
 
-Kept as it was when its seeds showed faults: were it to draw otherwise, they would be other
-schedules.
+This module stays as it was when its seeds revealed faults: other random draws would give other
+schedules for the same seeds.
 """
 
 import asyncio
@@ -21,24 +21,24 @@
 
 PLACE_COUNT = 4
 FIRST_CREDIT = 40_000
-RAISE = 8_000
+CREDIT_RAISE = 8_000
 BOUNDS = (50, 400, 3_000)
-LONGEST_DOWN_S = 3.0
-PATIENCE_S = 1.0
+MAX_DOWNTIME_S = 3.0
+MAX_WAIT_S = 1.0
 
 
-class Found(NamedTuple):
-    """Say what a schedule came to; ``most_over`` is the worst overspend at any moment."""
+class ScheduleResult(NamedTuple):
+    """Result of a schedule; ``max_overspend`` is the maximum overspend at any moment."""
 
     delivered: int
     credited: int
-    most_over: int
+    max_overspend: int
     served: int
     refused: int
 
 
 class Schedule:
-    """Drive one fleet by one seed for ``length_s`` seconds of virtual time."""
+    """Run one fleet with one seed for ``length_s`` seconds of virtual time."""
 
     def __init__(self, seed: int, hosts: int, length_s: float) -> None:
         self._random = random.Random(seed)
@@ -51,34 +51,36 @@
             random.Random(seed + 1),
             SpendPolicy(held_back=0.1),
         )
-        self._runs = dict.fromkeys(places, 0)
+        self._incarnation_by_host = dict.fromkeys(places, 0)
         self._credited = 0
         self._delivered = 0
-        self._most_over = 0
+        self._max_overspend = 0
         self._served = 0
         self._refused = 0
         self._is_over = False
         self._requests: set[asyncio.Task[None]] = set()
 
-    async def play(self) -> Found:
-        """Play to the end, and return what was delivered and credited."""
+    async def play(self) -> ScheduleResult:
+        """Run the schedule to its end, and return what was delivered and credited."""
         fleet = self._fleet
         fleet.net.extra_delay_s = self._delay_s
         await fleet.start()
         await fleet.clock.sleep(self._random.uniform(0.0, 8.0))
         self._credit(FIRST_CREDIT)
         callers = [asyncio.create_task(self._call(host)) for host in fleet.host_by_name]
-        await self._trouble()
+        await self._cause_failures()
         fleet.net.mend()
         await fleet.clock.sleep(10.0)
         self._is_over = True
         await asyncio.gather(*callers)
         await asyncio.gather(*self._requests)
         await fleet.stop()
-        return Found(self._delivered, self._credited, self._most_over, self._served, self._refused)
+        return ScheduleResult(
+            self._delivered, self._credited, self._max_overspend, self._served, self._refused
+        )
 
     def _delay_s(self) -> float:
-        # Mostly some milliseconds; now and then long enough for other steps to overtake.
+        # Usually some milliseconds; sometimes long enough for other steps to overtake.
         return self._random.choice((0.0, 0.001, 0.005, 0.1))
 
     def _credit(self, amount: int) -> None:
@@ -94,33 +96,33 @@
                 task.add_done_callback(self._requests.discard)
 
     async def _request(self, host: str) -> None:
-        fleet, run = self._fleet, self._runs[host]
+        fleet, incarnation = self._fleet, self._incarnation_by_host[host]
         allotments = fleet.host_by_name[host].allotments
         bound = self._random.choice(BOUNDS) + self._random.randrange(50)
         id_ = f"r{self._random.getrandbits(60):x}"
         now = fleet.clock.now()
-        request = ReserveRequest("clerks", "main", id_, bound, now + PATIENCE_S)
+        request = ReserveRequest("clerks", "main", id_, bound, now + MAX_WAIT_S)
         answer = await allotments.reserve(request, now)
-        if self._runs[host] != run:
+        if self._incarnation_by_host[host] != incarnation:
             return
         if isinstance(answer, Err):
             self._refused += 1
             return
         reservation = answer.ok_value
         try:
-            async with asyncio.timeout(PATIENCE_S):
-                begun = await reservation.begin(fleet.clock.now())
+            async with asyncio.timeout(MAX_WAIT_S):
+                started = await reservation.begin(fleet.clock.now())
         except TimeoutError:
-            begun = None
-        if self._runs[host] != run:
+            started = None
+        if self._incarnation_by_host[host] != incarnation:
             return
-        if begun is None or isinstance(begun, Err):
+        if started is None or isinstance(started, Err):
             reservation.release(fleet.clock.now())
             return
         self._served += 1
         self._deliver(bound)
         await fleet.clock.sleep(self._random.uniform(0.02, 1.0))
-        if self._runs[host] != run:
+        if self._incarnation_by_host[host] != incarnation:
             return
         used = self._random.choice((bound, bound * 3 // 4, 0))
         self._deliver(used - bound)
@@ -128,35 +130,35 @@
 
     def _deliver(self, amount: int) -> None:
         self._delivered += amount
-        self._most_over = max(self._most_over, self._delivered - self._credited)
+        self._max_overspend = max(self._max_overspend, self._delivered - self._credited)
 
-    async def _trouble(self) -> None:
-        troubles: list[Callable[[], object]] = [
-            self._cut_all,
-            self._cut_some,
-            self._cut_all_and_kill_all,
+    async def _cause_failures(self) -> None:
+        failures: list[Callable[[], object]] = [
+            self._partition_all,
+            self._partition_some,
+            self._partition_all_and_kill_all,
             self._kill_some,
             self._lose_messages,
-            lambda: self._credit(RAISE),
+            lambda: self._credit(CREDIT_RAISE),
         ]
         until = self._fleet.clock.now() + self._length_s
         while self._fleet.clock.now() < until:
             await self._fleet.clock.sleep(self._random.uniform(0.0, 3.0))
-            done = self._random.choice(troubles)()
+            done = self._random.choice(failures)()
             if asyncio.iscoroutine(done):
                 await done
 
-    async def _cut_all(self) -> None:
+    async def _partition_all(self) -> None:
         self._fleet.net.cut(dict.fromkeys(self._fleet.host_by_name, 1))
         await self._fleet.clock.sleep(self._random.uniform(0.2, 9.0))
         self._fleet.net.mend()
 
-    async def _cut_some(self) -> None:
+    async def _partition_some(self) -> None:
         self._fleet.net.cut(dict.fromkeys(self._some(), 1))
         await self._fleet.clock.sleep(self._random.uniform(0.2, 9.0))
         self._fleet.net.mend()
 
-    async def _cut_all_and_kill_all(self) -> None:
+    async def _partition_all_and_kill_all(self) -> None:
         self._fleet.net.cut(dict.fromkeys(self._fleet.host_by_name, 1))
         await self._fleet.clock.sleep(self._random.uniform(0.2, 9.0))
         if self._random.random() < 0.5:
@@ -170,9 +172,9 @@
 
     async def _kill(self, hosts: list[str]) -> None:
         for host in hosts:
-            self._runs[host] += 1
+            self._incarnation_by_host[host] += 1
             await self._fleet.host_by_name[host].kill()
-        await self._fleet.clock.sleep(self._random.uniform(0.0, LONGEST_DOWN_S))
+        await self._fleet.clock.sleep(self._random.uniform(0.0, MAX_DOWNTIME_S))
         for host in hosts:
             await self._fleet.host_by_name[host].start()
 
@@ -188,6 +190,6 @@
         return self._random.sample(names, self._random.randrange(1, len(names)))
 
 
-def play(seed: int, hosts: int = 5, length_s: float = 60.0) -> Found:
-    """Play one schedule."""
+def play(seed: int, hosts: int = 5, length_s: float = 60.0) -> ScheduleResult:
+    """Run one schedule."""
     return run_virtual(Schedule(seed, hosts, length_s).play())
--- a/tests/budgets/schedules.py
+++ b/tests/budgets/schedules.py
@@ -1,8 +1,8 @@
-"""Play a random schedule of requests and troubles on a fleet, and watch the money.
+"""Run a random schedule of requests and failures on a fleet, and track overspending.
 
-The fleet is the real allotments and the real ledger on fake links in virtual time. What a
-request may have got counts from the moment in which its charge was durable: its whole bound
-until it is settled, what it used after that, and its whole bound where its host was killed.
+The fleet consists of the real allotments and the real ledger, on fake connections in virtual time.
+A request may have consumed money from the moment when its charge is durable: its full bound until
+it is settled, the amount used after that, and its full bound if its host was killed.
 """
 
 import asyncio
@@ -18,27 +18,27 @@
 
 PLACE_COUNT = 4
 FIRST_CREDIT = 40_000
-RAISE = 8_000
+CREDIT_RAISE = 8_000
 BOUNDS = (50, 400, 3_000)
-LONGEST_DOWN_S = 3.0
-PATIENCE_S = 1.0
-POWER_LOST = 0.5
-USUAL_RATE = 5.0
-PRESSED_RATE = 40.0
+MAX_DOWNTIME_S = 3.0
+MAX_WAIT_S = 1.0
+POWER_LOSS_PROBABILITY = 0.5
+NORMAL_RATE_PER_S = 5.0
+HIGH_RATE_PER_S = 40.0
 
 
-class Found(NamedTuple):
-    """Say what a schedule came to; ``most_over`` is the worst overspend at any moment."""
+class ScheduleResult(NamedTuple):
+    """Result of a schedule; ``max_overspend`` is the maximum overspend at any moment."""
 
     delivered: int
     credited: int
-    most_over: int
+    max_overspend: int
     served: int
     refused: int
 
 
 class Schedule:
-    """Drive one fleet by one seed for ``length_s`` seconds of virtual time."""
+    """Run one fleet with one seed for ``length_s`` seconds of virtual time."""
 
     first_credit = FIRST_CREDIT
 
@@ -53,36 +53,38 @@
             random.Random(seed + 1),
             SpendPolicy(held_back=0.1),
         )
-        self._runs = dict.fromkeys(places, 0)
+        self._incarnation_by_host = dict.fromkeys(places, 0)
         self._credited = 0
         self._delivered = 0
-        self._most_over = 0
+        self._max_overspend = 0
         self._served = 0
         self._refused = 0
         self._is_over = False
         self._requests: set[asyncio.Task[None]] = set()
-        self._is_pressed = False
-        self._unsteps: list[asyncio.Task[None]] = []
+        self._is_under_pressure = False
+        self._clock_restorations: list[asyncio.Task[None]] = []
 
-    async def play(self) -> Found:
-        """Play to the end, and return what was delivered and credited."""
+    async def play(self) -> ScheduleResult:
+        """Run the schedule to its end, and return what was delivered and credited."""
         fleet = self._fleet
         fleet.net.extra_delay_s = self._delay_s
         await fleet.start()
         await fleet.clock.sleep(self._random.uniform(0.0, 8.0))
         self._credit(self.first_credit)
         callers = [asyncio.create_task(self._call(host)) for host in fleet.host_by_name]
-        await self._trouble()
+        await self._cause_failures()
         fleet.net.mend()
         await fleet.clock.sleep(10.0)
         self._is_over = True
         await asyncio.gather(*callers)
-        await asyncio.gather(*self._requests, *self._unsteps)
+        await asyncio.gather(*self._requests, *self._clock_restorations)
         await fleet.stop()
-        return Found(self._delivered, self._credited, self._most_over, self._served, self._refused)
+        return ScheduleResult(
+            self._delivered, self._credited, self._max_overspend, self._served, self._refused
+        )
 
     def _delay_s(self) -> float:
-        # Mostly some milliseconds; now and then long enough for other steps to overtake.
+        # Usually some milliseconds; sometimes long enough for other steps to overtake.
         return self._random.choice((0.0, 0.001, 0.005, 0.1))
 
     def _credit(self, amount: int) -> None:
@@ -91,8 +93,9 @@
 
     async def _call(self, host: str) -> None:
         while not self._is_over:
-            # In a cut all press at once: the bounds on what is spent unseen are used up.
-            rate = PRESSED_RATE if self._is_pressed else USUAL_RATE
+            # In a partition all callers may send more at the same time, to use up the bounds on
+            # unreported spend.
+            rate = HIGH_RATE_PER_S if self._is_under_pressure else NORMAL_RATE_PER_S
             await self._fleet.clock.sleep(self._random.expovariate(rate))
             if self._fleet.host_by_name[host].is_up:
                 task = asyncio.create_task(self._request(host))
@@ -100,34 +103,34 @@
                 task.add_done_callback(self._requests.discard)
 
     async def _request(self, host: str) -> None:
-        fleet, run = self._fleet, self._runs[host]
+        fleet, incarnation = self._fleet, self._incarnation_by_host[host]
         allotments = fleet.host_by_name[host].allotments
         bound = self._draw_bound()
         id_ = f"r{self._random.getrandbits(60):x}"
         clock = fleet.host_by_name[host].clock
         now = clock.now()
-        request = ReserveRequest("clerks", "main", id_, bound, now + PATIENCE_S)
+        request = ReserveRequest("clerks", "main", id_, bound, now + MAX_WAIT_S)
         answer = await allotments.reserve(request, now)
-        if self._runs[host] != run:
+        if self._incarnation_by_host[host] != incarnation:
             return
         if isinstance(answer, Err):
             self._refused += 1
             return
         reservation = answer.ok_value
         try:
-            async with asyncio.timeout(PATIENCE_S):
-                begun = await reservation.begin(clock.now())
+            async with asyncio.timeout(MAX_WAIT_S):
+                started = await reservation.begin(clock.now())
         except TimeoutError:
-            begun = None
-        if self._runs[host] != run:
+            started = None
+        if self._incarnation_by_host[host] != incarnation:
             return
-        if begun is None or isinstance(begun, Err):
+        if started is None or isinstance(started, Err):
             reservation.release(clock.now())
             return
         self._served += 1
         self._deliver(bound)
         await fleet.clock.sleep(self._random.uniform(0.02, 1.0))
-        if self._runs[host] != run:
+        if self._incarnation_by_host[host] != incarnation:
             return
         used = self._random.choice((bound, bound * 3 // 4, 0))
         self._deliver(used - bound)
@@ -138,70 +141,71 @@
 
     def _deliver(self, amount: int) -> None:
         self._delivered += amount
-        self._most_over = max(self._most_over, self._delivered - self._credited)
-
-    async def _trouble(self) -> None:
-        troubles: list[Callable[[], object]] = [
-            self._cut_all,
-            self._cut_some,
-            self._cut_all_and_kill_all,
-            self._cut_all_and_kill_some,
+        self._max_overspend = max(self._max_overspend, self._delivered - self._credited)
+
+    async def _cause_failures(self) -> None:
+        failures: list[Callable[[], object]] = [
+            self._partition_all,
+            self._partition_some,
+            self._partition_all_and_kill_all,
+            self._partition_all_and_kill_some,
             self._kill_some,
             self._step_clocks,
             self._lose_messages,
-            lambda: self._credit(RAISE),
+            lambda: self._credit(CREDIT_RAISE),
         ]
         until = self._fleet.clock.now() + self._length_s
         while self._fleet.clock.now() < until:
             await self._fleet.clock.sleep(self._random.uniform(0.0, 3.0))
-            done = self._random.choice(troubles)()
+            done = self._random.choice(failures)()
             if asyncio.iscoroutine(done):
                 await done
 
-    def _cut_off_all(self) -> None:
+    def _isolate_all(self) -> None:
         self._fleet.net.cut(dict.fromkeys(self._fleet.host_by_name, 1))
-        self._is_pressed = self._random.random() < 0.5
+        self._is_under_pressure = self._random.random() < 0.5
 
-    def _mend(self) -> None:
+    def _reconnect(self) -> None:
         self._fleet.net.mend()
-        self._is_pressed = False
+        self._is_under_pressure = False
 
-    async def _cut_all(self) -> None:
-        self._cut_off_all()
+    async def _partition_all(self) -> None:
+        self._isolate_all()
         await self._fleet.clock.sleep(self._random.uniform(0.2, 9.0))
-        self._mend()
+        self._reconnect()
 
-    async def _cut_some(self) -> None:
+    async def _partition_some(self) -> None:
         self._fleet.net.cut(dict.fromkeys(self._some(), 1))
         await self._fleet.clock.sleep(self._random.uniform(0.2, 9.0))
         self._fleet.net.mend()
 
-    async def _cut_all_and_kill_all(self) -> None:
-        self._cut_off_all()
+    async def _partition_all_and_kill_all(self) -> None:
+        self._isolate_all()
         await self._fleet.clock.sleep(self._random.uniform(0.2, 9.0))
         if self._random.random() < 0.5:
-            self._mend()
+            self._reconnect()
             await self._fleet.clock.sleep(self._random.uniform(0.0, 1.5))
         await self._kill(list(self._fleet.host_by_name))
-        self._mend()
+        self._reconnect()
 
-    async def _cut_all_and_kill_some(self) -> None:
-        self._cut_off_all()
+    async def _partition_all_and_kill_some(self) -> None:
+        self._isolate_all()
         await self._fleet.clock.sleep(self._random.uniform(0.2, 9.0))
         await self._kill(self._some())
         await self._fleet.clock.sleep(self._random.uniform(0.0, 4.0))
-        self._mend()
+        self._reconnect()
 
     async def _step_clocks(self) -> None:
-        # Fewer than three in four, and the same way: the worst that the bound has to bear.
+        # Fewer than three in four clocks, and all in the same direction: the worst case that the
+        # bound on unreported spend must cover.
         step_s = self._random.uniform(-2.4, 2.4)
         names = sorted(self._fleet.host_by_name)
         stepped = self._random.sample(names, max(1, len(names) * 3 // 10))
         for name in stepped:
             self._fleet.host_by_name[name].clock.wall_offset = step_s
-        self._unsteps.append(asyncio.create_task(self._unstep(stepped)))
+        self._clock_restorations.append(asyncio.create_task(self._restore_clocks(stepped)))
 
-    async def _unstep(self, stepped: list[str]) -> None:
+    async def _restore_clocks(self, stepped: list[str]) -> None:
         await self._fleet.clock.sleep(self._random.uniform(0.5, 8.0))
         for name in stepped:
             self._fleet.host_by_name[name].clock.wall_offset = 0.0
@@ -210,13 +214,13 @@
         await self._kill(self._some())
 
     async def _kill(self, hosts: list[str]) -> None:
-        loses_power = self._random.random() < POWER_LOST
+        loses_power = self._random.random() < POWER_LOSS_PROBABILITY
         for host in hosts:
-            self._runs[host] += 1
+            self._incarnation_by_host[host] += 1
             await self._fleet.host_by_name[host].kill()
             if loses_power:
                 self._fleet.host_by_name[host].lose_power()
-        await self._fleet.clock.sleep(self._random.uniform(0.0, LONGEST_DOWN_S))
+        await self._fleet.clock.sleep(self._random.uniform(0.0, MAX_DOWNTIME_S))
         for host in hosts:
             await self._fleet.host_by_name[host].start()
 
@@ -232,27 +236,28 @@
         return self._random.sample(names, self._random.randrange(1, len(names)))
 
 
-class FrozenLedger(Schedule):
-    """Freeze the ledger's leader now and then; commands are applied when it wakes.
+class StalledLedger(Schedule):
+    """Pause the ledger's leader now and then; it applies queued commands when it resumes.
 
-    Their senders have given up by then, and have sent them again or kept them elsewhere.
+    Their senders have timed out by then, and have sent the commands again or replicated the
+    records to peers.
     """
 
     def _delay_s(self) -> float:
         return self._random.choice((0.0, 0.001, 0.005, 0.02, 0.2))
 
-    async def _trouble(self) -> None:
+    async def _cause_failures(self) -> None:
         self._fleet.net.applies_late = True
-        troubles = [self._freeze, self._freeze, self._cut_all, self._lose_messages]
+        failures = [self._stall, self._stall, self._partition_all, self._lose_messages]
         until = self._fleet.clock.now() + self._length_s
         while self._fleet.clock.now() < until:
             await self._fleet.clock.sleep(self._random.uniform(0.0, 3.0))
-            await self._random.choice(troubles)()
+            await self._random.choice(failures)()
             if self._random.random() < 0.3:
-                self._credit(RAISE)
+                self._credit(CREDIT_RAISE)
         await self._fleet.clock.sleep(10.0)
 
-    async def _freeze(self) -> None:
+    async def _stall(self) -> None:
         net = self._fleet.net
         net.is_frozen = True
         await self._fleet.clock.sleep(self._random.uniform(0.1, 5.0))
@@ -260,24 +265,25 @@
         await self._fleet.clock.sleep(self._random.uniform(0.5, 4.0))
 
 
-def play_frozen(seed: int, hosts: int = 6) -> Found:
-    """Play a schedule with a leader that freezes."""
-    return run_virtual(FrozenLedger(seed, hosts, 40.0).play())
+def play_with_stalls(seed: int, hosts: int = 6) -> ScheduleResult:
+    """Run a schedule with a leader that pauses."""
+    return run_virtual(StalledLedger(seed, hosts, 40.0).play())
 
 
 class Blackout(Schedule):
-    """Cut all hosts off, press until their bounds are used up, and lose them all, or some.
+    """Isolate all hosts, send requests until their bounds are used up, and lose all or some hosts.
 
-    Afterwards callers press until nothing is left: what the ledger freed too much of shows.
+    Afterwards callers send requests until no money is left, so that an amount that the ledger
+    freed wrongly shows up as overspend.
     """
 
     first_credit = 5 * FIRST_CREDIT
 
-    async def _trouble(self) -> None:
+    async def _cause_failures(self) -> None:
         fleet, hosts = self._fleet, list(self._fleet.host_by_name)
         await fleet.clock.sleep(self._random.uniform(0.5, 6.0))
-        self._cut_off_all()
-        self._is_pressed = True
+        self._isolate_all()
+        self._is_under_pressure = True
         await fleet.clock.sleep(self._random.uniform(0.3, 6.0))
         if self._random.random() < 0.5:
             await self._step_clocks()
@@ -290,11 +296,11 @@
         return self._random.choice((20, 60, 200))
 
 
-def play_blackout(seed: int, hosts: int = 5) -> Found:
-    """Play one blackout."""
+def play_blackout(seed: int, hosts: int = 5) -> ScheduleResult:
+    """Run one blackout."""
     return run_virtual(Blackout(seed, hosts, 0.0).play())
 
 
-def play(seed: int, hosts: int = 5, length_s: float = 60.0) -> Found:
-    """Play one schedule."""
+def play(seed: int, hosts: int = 5, length_s: float = 60.0) -> ScheduleResult:
+    """Run one schedule."""
     return run_virtual(Schedule(seed, hosts, length_s).play())
--- a/tests/budgets/test_allotments.py
+++ b/tests/budgets/test_allotments.py
@@ -1,4 +1,4 @@
-"""Check the way of one request's money on a host that reaches the ledger."""
+"""Test how money is reserved and settled for one request while the ledger is in reach."""
 
 import asyncio
 import random
@@ -117,7 +117,7 @@
     on_fleet(scenario)
 
 
-def test_a_request_that_no_reservation_could_cover_is_refused_at_once() -> None:
+def test_a_request_that_no_reservation_could_cover_is_refused_immediately() -> None:
     async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100)
         await reserved(fleet, "a1", make_request(1, 100))
@@ -144,8 +144,8 @@
     on_fleet(scenario)
 
 
-def test_a_host_that_is_cut_off_can_stop_all_the_same() -> None:
-    """A host is told to stop while the ledger is out of reach: it says so in good time."""
+def test_an_isolated_host_can_still_stop() -> None:
+    """A host is stopped while the ledger is out of reach: it reports an error in good time."""
 
     async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 1000)
--- a/tests/budgets/test_allotments_differ.py
+++ b/tests/budgets/test_allotments_differ.py
@@ -1,8 +1,8 @@
-"""Drive the allotments of a fleet beside one naive central ledger that sees everything.
+"""Compare a fleet's allotments with one naive central ledger that receives every step.
 
-Whatever the order of requests, top-ups, cuts and deaths: the fleet never admits what the
-central ledger would refuse; where nothing is cut, it refuses nothing that the central
-ledger would admit; and once all is mended it has billed exactly what was settled.
+Requests, top-ups, network partitions and host failures come in any order. The fleet never admits
+what the central ledger would refuse. Without a partition, it refuses nothing that the central
+ledger would admit. Once all connections are restored, it has billed exactly what was settled.
 """
 
 from typing import Any
@@ -30,8 +30,8 @@
 )
 
 
-class _Both:
-    """Take each step on the fleet and on the oracle."""
+class _FleetAndOracle:
+    """Apply each step to the fleet and to the oracle."""
 
     def __init__(self, fleet: MoneyFleet) -> None:
         self.fleet = fleet
@@ -39,7 +39,7 @@
         self.settled = 0
         self.number = 0
         self.open: list[tuple[str, Any, Hold]] = []
-        self.is_whole = True
+        self.is_connected = True
 
     async def step(self, kind: str, *values: Any) -> None:
         await getattr(self, kind)(*values)
@@ -51,17 +51,17 @@
         answer = await self.fleet.host_by_name[host].allotments.reserve(request, now)
         hold = self.oracle.reserve(host, "main", bound, now)
         if isinstance(answer, Ok):
-            assert hold is not None, "the fleet admitted what nobody has the money for"
+            assert hold is not None, "the fleet admitted a request that no host has the money for"
             return answer.ok_value, hold
         if hold is not None:
             self.oracle.settle(hold, 0, now)
-            assert not self.is_whole, f"refused although there is money: {answer.err_value}"
+            assert not self.is_connected, f"refused although there is money: {answer.err_value}"
         return None
 
     async def request(self, host: str, bound: int, percent: int) -> None:
-        both = await self.reserve(host, bound)
-        if both is not None:
-            await self.settle(*both, bound * percent // 100)
+        pair = await self.reserve(host, bound)
+        if pair is not None:
+            await self.settle(*pair, bound * percent // 100)
 
     async def settle(self, reservation: Any, hold: Hold, actual: int) -> None:
         assert await reservation.settle(actual, self.fleet.clock.now()) == Ok(None)
@@ -69,9 +69,9 @@
         self.settled += actual
 
     async def hold(self, host: str, bound: int) -> None:
-        both = await self.reserve(host, bound)
-        if both is not None:
-            self.open.append((host, *both))
+        pair = await self.reserve(host, bound)
+        if pair is not None:
+            self.open.append((host, *pair))
 
     async def end(self, is_settled: bool) -> None:
         if not self.open:
@@ -89,13 +89,13 @@
 
     async def cut(self, is_south: bool) -> None:
         self.fleet.net.cut(SOUTH_PARTITIONED if is_south else {"a1": 1, "a2": 1})
-        self.is_whole = False
+        self.is_connected = False
 
     async def mend(self) -> None:
         self.fleet.net.mend()
 
     async def restart(self, host: str) -> None:
-        self.is_whole = False
+        self.is_connected = False
         for entry in [entry for entry in self.open if entry[0] == host]:
             self.open.remove(entry)
             self.oracle.settle(entry[2], 0, 0.0)
@@ -106,14 +106,14 @@
         await self.fleet.clock.sleep(seconds)
 
     async def finish(self) -> None:
-        """Mend everything: the ledger has billed all that was settled, and no more."""
+        """Restore all connections: the ledger has billed all that was settled, and no more."""
         self.fleet.net.mend()
         while self.open:
             await self.end(False)
         await self.fleet.clock.sleep(180.0)
         sums = self.fleet.sums("main")
         assert (sums.charged, sums.in_doubt) == (self.settled, 0)
-        self.is_whole = True
+        self.is_connected = True
         left = self.oracle.left["main"]
         if left > 0:
             await self.request("a1", left, 100)
@@ -124,10 +124,10 @@
 @given(steps=st.lists(STEPS, min_size=5, max_size=30))
 def test_the_fleet_agrees_with_one_central_ledger(steps: list[tuple[Any, ...]]) -> None:
     async def scenario(fleet: MoneyFleet) -> None:
-        both = _Both(fleet)
-        await both.credit(3000)
+        pair = _FleetAndOracle(fleet)
+        await pair.credit(3000)
         for step in steps:
-            await both.step(*step)
-        await both.finish()
+            await pair.step(*step)
+        await pair.finish()
 
     on_fleet(scenario, disks=("a1", "a2", "b1"))
--- a/tests/budgets/test_lost_steps.py
+++ b/tests/budgets/test_lost_steps.py
@@ -1,4 +1,4 @@
-"""Lose messages, hosts and leaders in the middle of moving money: none is doubled."""
+"""Lose messages, hosts and leaders while money moves: no amount is doubled."""
 
 import asyncio
 from types import SimpleNamespace
@@ -25,8 +25,8 @@
 from tests.fakes.money import MoneyFleet
 
 
-class LoseFirst:
-    """Lose the first message of one type; ``on_loss`` is called at that moment."""
+class LoseFirstMessage:
+    """Lose the first message of one type, and call ``on_loss`` at that moment."""
 
     def __init__(self, message_type: type, on_loss: Any = None) -> None:
         self._type = message_type
@@ -43,70 +43,71 @@
         return True
 
 
-async def same_sums(fleet: MoneyFleet, charged: int) -> None:
-    """Check the ledger once everything has been reported."""
+async def check_sums(fleet: MoneyFleet, charged: int) -> None:
+    """Check the ledger's sums once everything has been reported."""
     await fleet.clock.sleep(60.0)
     sums = fleet.sums("main")
     assert (sums.charged, sums.in_doubt) == (charged, 0)
 
 
 def test_a_draw_whose_answer_is_lost_is_made_once() -> None:
-    """The ledger's leader changes as it answers a draw; the host asks again.
+    """The ledger's leader changes while it answers a draw; the host sends the draw again.
 
-    The draw was applied. Sent under a new number, the first grant would be stranded.
+    The draw was applied. If it were repeated under a new number, the first grant would be
+    stranded.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100)
-        fleet.net.lose_reply = LoseFirst(Draw)
+        fleet.net.lose_reply = LoseFirstMessage(Draw)
         await spend(fleet, "a1", "one", 100)
-        await same_sums(fleet, 100)
+        await check_sums(fleet, 100)
 
     on_fleet(scenario)
 
 
 def test_charges_whose_answer_is_lost_are_billed_once() -> None:
-    """The leader changes as it answers a batch of charges: they are sent again."""
+    """The leader changes while it answers a batch of charges, and they are sent again."""
 
     async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 1_000)
-        fleet.net.lose_reply = LoseFirst(ChargeBatch)
+        fleet.net.lose_reply = LoseFirstMessage(ChargeBatch)
         assert await spend(fleet, "a1", "one", 100) == Ok(None)
         assert await spend(fleet, "a1", "two", 100) == Ok(None)
-        await same_sums(fleet, 200)
+        await check_sums(fleet, 200)
 
     on_fleet(scenario, disks=("a1",))
 
 
 def test_a_return_whose_answer_is_lost_cannot_be_spent_here_as_well() -> None:
-    """A host hands back what it holds, the answer is lost, and a request comes.
+    """A host returns what it holds, the answer is lost, and a request arrives.
 
-    The money has left the host before the message went out.
+    The host deducted the money before it sent the message.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100)
         (await reserved(fleet, "a1", "one", 50)).release(fleet.clock.now())
-        fleet.net.lose_reply = LoseFirst(Return)
+        fleet.net.lose_reply = LoseFirstMessage(Return)
         allotments = fleet.host_by_name["a1"].allotments
         assert isinstance(await allotments.hand_back(), Err)
         assert allotments.try_reserve(make_request(fleet, "two", 50), fleet.clock.now()) is None
         assert await spend(fleet, "a1", "three", 100) == Ok(None)
-        await same_sums(fleet, 100)
+        await check_sums(fleet, 100)
 
     on_fleet(scenario)
 
 
 def test_a_return_whose_answer_is_lost_is_sent_again_although_nothing_else_is_held() -> None:
-    """A host returns all it holds, the answer is lost, and it gets no more requests.
+    """A host returns all it holds, the answer is lost, and the host gets no more requests.
 
-    Nobody could spend the amount while the ledger does not know that it was returned.
+    Unless the return is repeated, no host can spend the amount.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100)
         (await reserved(fleet, "a1", "one", 50)).release(fleet.clock.now())
-        fleet.net.lose_request = LoseFirst(Return)
+        fleet.net.lose_request = LoseFirstMessage(Return)
         assert isinstance(await fleet.host_by_name["a1"].allotments.hand_back(), Err)
         await fleet.clock.sleep(30.0)
         assert await spend(fleet, "b1", "two", 100) == Ok(None)
@@ -124,14 +125,14 @@
 @pytest.mark.parametrize("step", ["request", "reply"])
 @pytest.mark.parametrize("dies", ["giver", "taker", "nobody"])
 @pytest.mark.parametrize("disks", [(), ("b1", "b2", "b3")])
-def test_a_transfer_that_is_cut_short_strands_money_and_never_doubles_it(
+def test_a_transfer_that_is_interrupted_strands_money_and_never_doubles_it(
     step: str, dies: str, disks: tuple[str, ...]
 ) -> None:
-    """Cut off from the ledger, a host takes money from a peer; a message is lost, and the
-    giver or the taker dies at that moment and starts again.
+    """A host takes money from a peer in a partition; a message is lost, and one of the two dies.
 
-    The southern hosts spend all they can. After the cut the ledger has billed just that,
-    and what was stranded can be spent.
+    The donor or the recipient is killed at that moment and starts again. The southern hosts spend
+    all they can. After the partition the ledger has billed exactly that, and what was stranded can
+    be spent.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -148,26 +149,26 @@
             if victim is not None:
                 restarts.append(asyncio.ensure_future(restart()))
 
-        setattr(fleet.net, f"lose_{step}", LoseFirst(TakeRequest, die))
+        setattr(fleet.net, f"lose_{step}", LoseFirstMessage(TakeRequest, die))
         spent = 0
         for host in ("b1", "b2", "b3", "b1"):
             spent += await spend_all(fleet, host, f"{host}-{spent}", 10)
             await asyncio.gather(*restarts)
         assert spent <= 900
         fleet.net.mend()
-        await same_sums(fleet, spent)
+        await check_sums(fleet, spent)
         rest = await spend_all(fleet, "a1", "rest", 10)
-        await same_sums(fleet, spent + rest)
+        await check_sums(fleet, spent + rest)
         assert 0 <= 900 - spent - rest < 10 * 5
 
     on_fleet(scenario, disks=disks)
 
 
 def test_a_report_that_waits_for_a_lost_host_is_not_sent_all_the_time() -> None:
-    """Money passes from b2 over b3 to b1 in a cut; b2 and b3 are lost before they report.
+    """In a partition money passes from b2 via b3 to b1; b2 and b3 are lost before they report.
 
-    The cut is mended. b1's report must wait for theirs, at a small cost; its other requests
-    go on, and all adds up once the lost hosts are back.
+    The connections are restored. b1's report must wait for theirs, with few retries. Its other
+    requests continue, and all sums are correct once the lost hosts are back.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -184,15 +185,15 @@
         assert fleet.net.ledger_calls - before < 200
         for host in ("b2", "b3"):
             await fleet.host_by_name[host].start()
-        await same_sums(fleet, 300)
+        await check_sums(fleet, 300)
 
     on_fleet(scenario, disks=("b1", "b2", "b3"))
 
 
-def test_money_that_goes_round_across_a_cut_adds_up_after_it() -> None:
-    """In a cut, money passes from host to host and back, and their reports cross.
+def test_money_that_circulates_during_a_partition_adds_up_after_it() -> None:
+    """In a partition money passes from host to host and back, and their reports cross.
 
-    The ledger takes each report once the one that funds it is there; nothing is in doubt.
+    The ledger accepts each report once the one that funds it has arrived; nothing is in doubt.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -208,7 +209,7 @@
                 spent += amount
         assert spent > 350
         fleet.net.mend()
-        await same_sums(fleet, spent)
+        await check_sums(fleet, spent)
 
     on_fleet(scenario, disks=("b1",))
 
@@ -216,8 +217,8 @@
 def test_a_host_that_dies_with_reservations_open_gives_their_money_back() -> None:
     """A host is killed with one request settled, one unsettled and one being committed.
 
-    The settled one is billed. The others were not answered: their money comes back with
-    the new incarnation, while a draw of the old one arrives late and gets nothing.
+    The settled one is billed. The others were not answered: their money is released with the new
+    incarnation, while a draw of the old one arrives late and gets nothing.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -231,7 +232,7 @@
         await host.kill()
         settling.cancel()
         await host.start()
-        await same_sums(fleet, 50)
+        await check_sums(fleet, 50)
         late = Draw("main", Holder("b1", 1), 99, 250, 1, fleet.clock.wall())
         answer = LEDGER_CODEC.decode(fleet.net.machine.apply(LEDGER_CODEC.encode(late)))
         assert answer.kind == ErrorKind.CONFLICT
@@ -241,8 +242,10 @@
 
 
 def test_a_host_that_dies_after_its_charge_was_committed_bills_it_once() -> None:
-    """The batch reaches the ledger, the host dies before the answer, and the request is
-    retried on another host under its id."""
+    """The batch reaches the ledger, and the host is killed before it receives the answer.
+
+    The request is retried on another host under its id.
+    """
 
     async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 300)
@@ -253,14 +256,14 @@
         settling.cancel()
         await fleet.host_by_name["b1"].start()
         assert await spend(fleet, "a1", "same-id", 100) == Ok(None)
-        await same_sums(fleet, 100)
+        await check_sums(fleet, 100)
         assert await spend(fleet, "a1", "rest", 200) == Ok(None)
 
     on_fleet(scenario)
 
 
 def test_a_budget_of_one_request_serves_one() -> None:
-    """All hosts get a request at once; the budget covers exactly one of them."""
+    """All hosts get a request at the same time; the budget covers exactly one of them."""
 
     async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 100)
@@ -280,7 +283,7 @@
 
 
 def test_a_busy_budget_is_spent_to_its_last_unit_from_everywhere() -> None:
-    """Five hosts draw on one budget at once until it is gone: a recall crosses a spend.
+    """Five hosts draw on one budget at the same time until it is spent.
 
     No money is left while a request that it would cover is refused.
     """
@@ -291,17 +294,18 @@
             *(spend_all(fleet, host, host, 7) for host in fleet.host_by_name)
         )
         assert 0 <= 5_000 - sum(spent) < 7
-        await same_sums(fleet, sum(spent))
+        await check_sums(fleet, sum(spent))
         assert await refused(fleet, "a1", "last", 7) is ErrorKind.BUDGET_EXHAUSTED
 
     on_fleet(scenario)
 
 
 def test_a_draw_that_two_tasks_wait_for_is_granted_once() -> None:
-    """A draw ahead is on its way as a request falls short and draws as well.
+    """A draw ahead is in flight when a request lacks money and draws as well.
 
-    The second task finds the first one's draw unanswered and sends it again. Both get the
-    ledger's one answer; counted twice, this host would spend money that it does not hold.
+    The second task finds the first task's draw unanswered and sends it again. Both get the
+    ledger's one answer. If it were counted twice, this host would spend money that it does not
+    hold.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -318,10 +322,10 @@
     on_fleet(scenario)
 
 
-def test_nothing_is_claimed_while_a_transfer_is_under_way() -> None:
-    """A host reads the ledger in the moment in which it gives an amount to a peer.
+def test_nothing_is_claimed_while_a_transfer_is_in_flight() -> None:
+    """A host reads the ledger while it gives an amount to a peer.
 
-    The ledger still books the amount to it. Were it claimed, both hosts would spend it.
+    The ledger still books the amount to the host. If it were claimed, both hosts would spend it.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -331,12 +335,12 @@
         claims = [Claim(allotment)]
         with allotment.transferring():
             claims.append(Claim(allotment))
-        assert [claim.take_up(fleet.sums("main")) for claim in claims] == [0, 0]
-        assert Claim(allotment).take_up(fleet.sums("main")) > 0
+        assert [claim.add_missing(fleet.sums("main")) for claim in claims] == [0, 0]
+        assert Claim(allotment).add_missing(fleet.sums("main")) > 0
 
     on_fleet(scenario)
 
 
 def settled_queue(host: str) -> Any:
-    """Return a queue of the host's first run that the ledger knows all of."""
+    """Return a queue of the host's first incarnation, all of which the ledger has."""
     return SimpleNamespace(in_reach=True, uncommitted=0, holder=Holder(host, 1))
--- a/tests/budgets/test_partitions.py
+++ b/tests/budgets/test_partitions.py
@@ -1,4 +1,4 @@
-"""Cut hosts from the ledger and from each other: nothing is overspent, little refused."""
+"""Isolate hosts from the ledger and from each other: no overspend, and few refusals."""
 
 import asyncio
 from functools import partial
@@ -8,7 +8,7 @@
 from result import Err, Ok
 
 from cranberrywall.budgets import BudgetAssignment, SpendPolicy
-from cranberrywall.budgets._allotments import CONTACT_EVERY_S
+from cranberrywall.budgets._allotments import CONTACT_INTERVAL_S
 from cranberrywall.budgets._messages_holders import FULL_UNREPORTED_DELAY_S, unreported_share
 from cranberrywall.budgets.messages import LEDGER_CODEC, ConfirmDead, Holder
 from cranberrywall.errors import ErrorKind
@@ -26,7 +26,7 @@
 
 
 async def warm_up(fleet: MoneyFleet, amount: int = 10_000) -> None:
-    """Spend a little everywhere, so that each host holds its share."""
+    """Spend a little on every host, so that each one holds its share."""
     fleet.credit("main", amount)
     for turn in range(4):
         for host in fleet.host_by_name:
@@ -34,17 +34,17 @@
         await fleet.clock.sleep(30.0)
 
 
-def test_both_sides_of_a_cut_of_hours_spend_all_there_is_and_no_more() -> None:
-    """The south is cut off for two hours while both sides are busy.
+def test_both_sides_of_a_partition_of_hours_spend_all_there_is_and_no_more() -> None:
+    """The south is isolated for two hours while both sides are busy.
 
-    Each side spends what it holds; together they spend the budget, and after the cut the
+    Each side spends what it holds, and together they spend the budget. After the partition the
     ledger bills each request once.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
         await warm_up(fleet)
         fleet.net.cut(SOUTH_PARTITIONED)
-        # Until then, hosts without disks may spend and give a part only of what they hold.
+        # Until then, hosts without disks may spend and give only a part of what they hold.
         await fleet.clock.sleep(FULL_UNREPORTED_DELAY_S)
         south = await spend_all(fleet, "b1", "south", 20)
         await fleet.clock.sleep(7200.0)
@@ -61,11 +61,11 @@
     on_fleet(scenario, disks=("a1", "b1"))
 
 
-def test_a_top_up_in_a_cut_is_spendable_at_once_where_the_ledger_is_in_reach() -> None:
-    """The budget is spent on both sides of a cut, then the operator tops it up.
+def test_a_top_up_in_a_partition_is_spendable_immediately_if_the_ledger_is_in_reach() -> None:
+    """The budget is spent on both sides of a partition, then the operator tops it up.
 
-    The north is served at once. The south is told that the money cannot be reached, not
-    that there is none, and is served as soon as the cut is mended.
+    The north is served immediately. The south gets the answer that the money cannot be reached,
+    not that there is none, and is served as soon as the connections are restored.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -83,11 +83,11 @@
     on_fleet(scenario, disks=("a1", "b1"))
 
 
-def test_a_refusal_says_exhausted_only_where_the_ledger_said_so() -> None:
+def test_a_refusal_reports_exhausted_only_if_the_ledger_reported_it() -> None:
     """All money is spent; then a host loses the ledger and asks again.
 
-    In reach the caller hears that the budget is exhausted; cut off, that it cannot be
-    reached, since a top-up may have come.
+    While the ledger is in reach, the caller gets the answer that the budget is exhausted. While it
+    is not, the answer is that the budget cannot be reached, because a top-up may have arrived.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -101,9 +101,9 @@
 
 
 def test_money_on_hosts_out_of_reach_is_not_called_exhausted() -> None:
-    """The ledger has nothing free, and the south, which is cut off, holds the rest.
+    """The ledger has nothing free, and the south, which is isolated, holds the rest.
 
-    The north must not tell its callers that the budget is spent.
+    The north must not answer its callers that the budget is spent.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -116,10 +116,10 @@
 
 
 def test_an_isolated_host_with_a_disk_spends_what_it_holds_through_a_restart() -> None:
-    """A host with a disk is alone for hours, is killed and starts again, still alone.
+    """A host with a disk is isolated for hours, is killed and starts again, still isolated.
 
-    It goes on under its old incarnation with what it had left. Once in reach, every
-    request is billed once and the new incarnation holds the money.
+    It continues under its old incarnation with what it had left. Once the ledger is in reach,
+    every request is billed once and the new incarnation holds the money.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -148,8 +148,9 @@
 ) -> None:
     """A host without a disk loses the ledger and all peers, and its request settles.
 
-    Its charge lasts nowhere. Told to refuse, it says so and admits nothing more; told to
-    spend, it goes on, and the charges reach the ledger if it lives.
+    Its charge cannot be made durable. With the policy ``refuse`` it returns an error and admits
+    nothing more. With ``spend`` it continues, and the charges reach the ledger if the host
+    survives.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -171,11 +172,11 @@
     on_fleet(scenario, policy=SpendPolicy(isolated=isolated))
 
 
-def test_hosts_without_disks_that_are_cut_off_together_keep_charges_for_each_other() -> None:
-    """The south has no disk and is cut off; a host there settles requests and is lost.
+def test_hosts_without_disks_that_are_isolated_together_store_charges_for_each_other() -> None:
+    """The south has no disk and is isolated; a host there settles requests and is lost.
 
-    Two peers hold its charges. When the cut is mended they are billed, and only then does
-    the lost host's remainder come back to its successor.
+    Two peers store its charges. When the connections are restored the charges are billed, and only
+    then is the lost host's remainder released to its successor.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -196,10 +197,10 @@
     on_fleet(scenario)
 
 
-def test_a_late_copy_of_an_ended_run_is_refused() -> None:
-    """A lost host's call to keep a charge comes after its successor was told of all.
+def test_a_late_copy_of_an_ended_incarnation_is_refused() -> None:
+    """A lost host's call to store a charge arrives after its successor was informed of all.
 
-    Its remainder has come back by then: taking the copy would bill money that others may
+    Its remainder has been released by then: accepting the copy would bill money that others may
     hold.
     """
 
@@ -224,10 +225,9 @@
 
 
 def test_a_place_that_is_lost_takes_with_it_only_what_it_held() -> None:
-    """All hosts of the south are lost at once. The north goes on with the rest.
+    """All hosts of the south are lost at the same time. The north continues with the rest.
 
-    What the south held stays booked to it until its hosts come back; then all of it can
-    be spent.
+    What the south held stays booked to it until its hosts are back; then all of it can be spent.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -248,10 +248,10 @@
 
 
 def test_hosts_that_are_back_after_long_do_not_free_what_they_may_have_spent() -> None:
-    """All hosts of the south are lost at once, and are back a minute later.
+    """All hosts of the south are lost at the same time, and are back a minute later.
 
-    Two of them have no disk, and each may have kept charges of the other that both forgot.
-    Nobody can prove that they did not, so their part stays booked until two persons decide.
+    Two of them have no disk, and each may have stored charges of the other that both lost. No
+    evidence can exclude that, so their part stays booked until two persons decide.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -277,13 +277,13 @@
     on_fleet(scenario, disks=("b1",))
 
 
-async def spend_in_a_cut_and_lose_the_south(
-    fleet: MoneyFleet, dark_s: float, knows_others: bool
+async def spend_in_a_partition_and_lose_the_south(
+    fleet: MoneyFleet, outage_s: float, knows_others: bool
 ) -> None:
-    """Spend in the south while it is cut off, lose all its hosts there, and spend what is left.
+    """Spend in the south while it is isolated, lose all its hosts, and spend what is left.
 
-    No more than the budget may be spent. ``knows_others`` says whether the first host that is
-    back has heard of its peers.
+    No more than the budget may be spent. ``knows_others`` states whether the first host that is
+    back has discovered its peers.
     """
     await warm_up(fleet)
     fleet.net.cut(SOUTH_PARTITIONED)
@@ -291,7 +291,7 @@
     south = [host for host in fleet.host_by_name.values() if host.place == "south"]
     for host in south:
         await host.kill()
-    await fleet.clock.sleep(dark_s)
+    await fleet.clock.sleep(outage_s)
     fleet.net.mend()
     fleet.host_by_name["b1"].knows_others = knows_others
     for host in south:
@@ -302,33 +302,31 @@
     assert spent <= 10_000
 
 
-def test_charges_that_only_lost_peers_kept_are_not_spent_twice() -> None:
-    """In a cut, a host without a disk serves a request, and its charge is kept at its peers.
+def test_charges_that_only_lost_peers_stored_are_not_spent_twice() -> None:
+    """In a partition a diskless host serves a request, and its peers store the charge.
 
-    All of them are lost together and start again. Their new runs know of no charge, so that
-    the part of the lost host would come back whole, and the request's money with it.
+    All of them are lost together and start again. Their new incarnations have no record of the
+    charge, so the full part of the lost host would be released, including the request's money.
     """
 
-    on_fleet(partial(spend_in_a_cut_and_lose_the_south, dark_s=0.0, knows_others=True))
+    on_fleet(partial(spend_in_a_partition_and_lose_the_south, outage_s=0.0, knows_others=True))
 
 
-def test_charges_that_only_lost_peers_kept_are_not_spent_twice_by_a_host_that_knows_nobody() -> (
-    None
-):
-    """In a cut, a host without a disk serves a request, and its charge is kept at its peers.
+def test_charges_that_only_lost_peers_stored_are_not_spent_twice_by_a_host_without_peers() -> None:
+    """In a partition a diskless host serves a request, and its peers store the charge.
 
-    All of them lose their power together. The first to be back has not heard of the others yet,
-    asks none of them what they keep, and says that all who were asked hold nothing. Its part
-    comes back whole, and what was spent in the cut is spent again.
+    All of them lose their power together. The first host that is back has not discovered the
+    others yet, asks none of them what they store, and reports that all hosts that were asked store
+    nothing. Its full part is released, and what was spent in the partition is spent again.
     """
 
-    on_fleet(partial(spend_in_a_cut_and_lose_the_south, dark_s=3.0, knows_others=False))
+    on_fleet(partial(spend_in_a_partition_and_lose_the_south, outage_s=3.0, knows_others=False))
 
 
-def test_a_budget_that_was_never_asked_for_can_be_spent_in_a_cut() -> None:
-    """A workspace's first callers come just after a cut has begun, and all of them are refused.
+def test_a_budget_that_was_never_requested_can_be_spent_in_a_partition() -> None:
+    """A workspace's first requests arrive just after a partition started, and all are refused.
 
-    Hosts drew money only once they were asked for it, and then nobody on their side held any.
+    Hosts drew money only after the first request, and then no host on their side held any.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -342,10 +340,10 @@
     on_fleet(scenario)
 
 
-def test_a_host_that_is_cut_off_asks_its_peers_at_once() -> None:
-    """In a cut, a host has spent its part, and its peers hold plenty. Callers wait a second.
+def test_an_isolated_host_asks_its_peers_immediately() -> None:
+    """In a partition a host has spent its part, its peers hold plenty, and callers wait a second.
 
-    They were refused: each search began with a draw at the ledger, which had not answered for
+    They were refused: each search started with a draw at the ledger, which had not answered for
     seconds, and waited for it longer than the callers do.
     """
 
@@ -367,10 +365,11 @@
 
 
 def test_what_a_host_gave_just_before_it_was_lost_is_not_spent_twice() -> None:
-    """A cut has just begun. A host gives a peer half of what it holds, and is killed.
+    """A partition has just started. A host gives a peer half of what it holds, and is killed.
 
-    It starts again at once, and the cut is mended. The ledger heard it a moment before, and frees
-    its part, as it had no time to spend anything: but it had time to give, and the peer spends.
+    It restarts immediately, and the connections are restored. The ledger received its last message
+    a moment earlier, and frees its part because it had no time to spend anything. But it had time
+    to give money away, and the peer spends that.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -403,10 +402,10 @@
 
 
 def test_a_request_that_runs_as_its_host_is_killed_is_paid_for() -> None:
-    """A host is killed while it serves; it and its peers start again at once.
+    """A host is killed while it serves a request; it and its peers restart immediately.
 
-    What the request used is known to nobody. Its money was charged before it went to a
-    target, so that it is not spent a second time; the rest of the host's part comes back.
+    No host has a record of what the request used. Its money was charged before it was sent to a
+    target, so it is not spent a second time; the rest of the host's part is released.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -419,19 +418,20 @@
             await fleet.host_by_name[name].start()
         await fleet.clock.sleep(10.0)
         rest = await spend_all(fleet, "a1", "rest", 10)
-        # What each of the three may have spent unseen in its last moment stays booked to it.
+        # What each of the three may have spent without a report in its last moment stays booked to
+        # it.
         booked = [one for one in fleet.sums("main").held if one.holder.incarnation == 1]
-        unseen = sum(one.outstanding for one in booked if one.holder.host.startswith("b"))
-        assert 0 <= 10_000 - 200 - 500 - unseen - rest < 10
-        assert unseen <= 3 * unreported_share(CONTACT_EVERY_S + 0.01) * 10_000 / len(PLACES)
+        unreported = sum(one.outstanding for one in booked if one.holder.host.startswith("b"))
+        assert 0 <= 10_000 - 200 - 500 - unreported - rest < 10
+        assert unreported <= 3 * unreported_share(CONTACT_INTERVAL_S + 0.01) * 10_000 / len(PLACES)
 
     on_fleet(scenario)
 
 
 def test_what_a_request_did_not_use_of_its_open_charge_can_be_spent() -> None:
-    """A request is charged the most that it can cost before it is sent, and costs less.
+    """A request is charged its maximum cost before it is sent, and costs less.
 
-    Another is given up by its caller while its charge is on the way, and costs nothing.
+    Another is cancelled by its caller while its charge is in flight, and costs nothing.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -440,9 +440,9 @@
         assert await first.begin(fleet.clock.now()) == Ok(None)
         assert await first.settle(100, fleet.clock.now()) == Ok(None)
         second = await reserved(fleet, "b2", "second", 900)
-        begins = asyncio.ensure_future(second.begin(fleet.clock.now()))
+        opening = asyncio.ensure_future(second.begin(fleet.clock.now()))
         await asyncio.sleep(0)
-        begins.cancel()
+        opening.cancel()
         second.release(fleet.clock.now())
         await fleet.clock.sleep(10.0)
         sums = fleet.sums("main")
@@ -456,11 +456,12 @@
 def test_after_a_loss_of_power_of_all_hosts_what_is_held_back_can_be_spent_and_then_the_rest() -> (
     None
 ):
-    """All entry hosts lose their power for some seconds, none was cut off from the ledger.
+    """All entry hosts lose their power for some seconds; none was isolated from the ledger.
 
-    A host that lost its power then, and one that was cut off then, served alone and lost it
-    later, leave the same traces: none. So what they held stays with their lost runs, and callers
-    are served from what the ledger held back; two persons who know better free the rest.
+    A host that lost its power at that time leaves no traces, and neither does one that was
+    isolated then, served alone and lost its power later. What they held therefore stays booked to
+    their lost incarnations, and callers are served from what the ledger withheld. Two persons who
+    have other evidence free the rest.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -485,10 +486,10 @@
     on_fleet(scenario, policy=SpendPolicy(held_back=0.5))
 
 
-def test_a_raise_just_before_a_cut_can_be_spent_in_it() -> None:
-    """A total is raised, and two seconds later all hosts of a place are cut off from the ledger.
+def test_a_raise_just_before_a_partition_can_be_spent_in_it() -> None:
+    """A total is raised, and two seconds later all hosts of a place are isolated from the ledger.
 
-    They refused what the raise had paid for: hosts drew of it at their next review only.
+    They refused what the raise had paid for, because they drew from it only at their next review.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -506,10 +507,11 @@
     on_fleet(scenario)
 
 
-def test_after_a_cut_with_much_lending_hosts_are_soon_in_touch_again() -> None:
-    """Cut off together, hosts lend to each other at each request, and the cut is mended.
+def test_after_a_partition_with_many_transfers_hosts_soon_reach_the_ledger_again() -> None:
+    """Isolated together, hosts transfer money at each request; then the partition ends.
 
-    Each transfer was reported by itself, and nobody drew of the ledger before all were through.
+    Each transfer was reported separately, and no host drew from the ledger before all reports were
+    done.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -534,8 +536,8 @@
     on_fleet(scenario)
 
 
-def test_two_hosts_that_are_short_at_once_do_not_swap_their_last_parts() -> None:
-    """Two hosts hold 60 each and get a request of 100 at the same time. One of them is served."""
+def test_two_hosts_with_a_shortfall_at_the_same_time_do_not_swap_their_last_parts() -> None:
+    """Two hosts hold 60 each and get a request of 100 at the same time. One of them serves it."""
 
     async def scenario(fleet: MoneyFleet) -> None:
         fleet.credit("main", 120)
--- a/tests/budgets/test_peer_messages.py
+++ b/tests/budgets/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""Check that the calls between hosts survive the way over a stream."""
+"""Test that the messages between hosts survive encoding and decoding."""
 
 from typing import Any
 
@@ -27,6 +27,6 @@
         peer.DeliverReply(2, B, on_disk=False),
     ],
 )
-def test_a_message_is_the_same_after_its_way(message: Any) -> None:
+def test_a_message_is_the_same_after_encoding_and_decoding(message: Any) -> None:
     data = msgspec.msgpack.encode(message)
     assert msgspec.msgpack.decode(data, type=type(message)) == message
--- a/tests/budgets/test_searches.py
+++ b/tests/budgets/test_searches.py
@@ -1,4 +1,4 @@
-"""Tell how a host finds the last of a budget that many hosts hold parts of."""
+"""Test how a host finds the last of a budget that many hosts hold parts of."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -20,7 +20,7 @@
         places = dict.fromkeys(HOSTS, "north")
         fleet = MoneyFleet(places, make_ledger_machine(), VirtualClock(), random.Random(5))
         await fleet.start()
-        # Each host's registration is committed.
+        # Wait until each host's registration is committed.
         await fleet.clock.sleep(10.0)
         await scenario(fleet)
         await fleet.stop()
@@ -31,8 +31,8 @@
 def test_parts_on_many_distant_hosts_are_gathered_in_time() -> None:
     """Thirty hosts hold a part each, and a call between hosts takes 40 ms.
 
-    A request needs most of the parts. Asked one after the other, the hosts took longer
-    than the request may wait, and it was refused though the money was there.
+    A request needs most of the parts. When the hosts were asked one after the other, that took
+    longer than the request may wait, and it was refused although the money was there.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -49,10 +49,11 @@
 
 
 def test_hosts_that_give_nothing_use_up_no_numbers() -> None:
-    """All that is left is reserved on thirty hosts, and one of them is refused again and again.
+    """All that is left is reserved on thirty hosts, and one of them refuses request after request.
 
-    Each refusal asks all the others at once. Did their answers use up a number each, the
-    ledger would soon refuse this host's transfers as too far ahead of the missing ones.
+    Each refusal asks all the other hosts at the same time. If each of their answers used up a
+    number, the ledger would soon refuse this host's transfers as too far ahead of the missing
+    ones.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -76,10 +77,10 @@
 
 
 def test_a_spent_budget_costs_one_read_a_refusal() -> None:
-    """A budget is spent, and long after the last refusal another request comes.
+    """A budget is spent, and another request arrives long after the last refusal.
 
-    The host knows that nothing was free, and asks the ledger anew: by one read, which tells
-    both what is free and who holds the rest.
+    The host has recorded that nothing was free, and asks the ledger again, by one read that
+    returns both what is free and which hosts hold the rest.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -97,9 +98,10 @@
 
 
 def test_money_held_by_others_is_found_by_one_read() -> None:
-    """Nothing is free at the ledger, as a host knows, and others hold money in parts.
+    """The host has recorded that nothing is free at the ledger, and others hold money in parts.
 
-    It used to draw, be refused, and then read who holds the money; now it reads at once.
+    A draw would be refused, and a read would have to follow it. The host therefore reads
+    immediately.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -117,10 +119,10 @@
 
 
 def test_hosts_that_were_only_refused_since_leave_the_ledger_alone() -> None:
-    """Two hosts spend a budget, and both are refused after that.
+    """Two hosts spend a budget, and all their later requests are refused.
 
-    They asked for the ledger's sums again a minute later, for the sake of requests that
-    they had served before; two hundred hosts did so at the end of each busy budget.
+    The hosts requested the ledger's sums again a minute later, because of requests that they had
+    served earlier; two hundred hosts did so at the end of each busy budget.
     """
 
     async def scenario(fleet: MoneyFleet) -> None:
@@ -138,10 +140,10 @@
 
 
 def test_small_shares_are_held_and_not_drawn_for_each_request() -> None:
-    """Three to four requests' bounds a host are left of a budget, and each host serves one request.
+    """A budget has three to four request bounds per host left, and each host serves one request.
 
-    Hosts held nothing of so little: each request cost a draw, and a return of what it had
-    not spent.
+    Hosts held nothing of such a small budget: each request cost a draw, and a return of what it
+    had not spent.
     """
 
     async def serve(fleet: MoneyFleet, host: str, id_: str) -> None:
