--- a/tests/budgets/test_unseen.py
+++ b/tests/budgets/test_unseen.py
@@ -1,4 +1,4 @@
-"""Check what a host without a disk may spend while the ledger does not hear it."""
+"""Test what a diskless host may spend while it cannot report to the ledger."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -25,8 +25,8 @@
 Answer = Callable[[ChargeBatch], Awaitable[Result[Any, Refusal]]]
 
 
-class OneByOne:
-    """Answer each batch of charges as the next of ``answers`` does, then not at all."""
+class ScriptedLedger:
+    """Ledger that answers each batch of charges by the next of ``answers``, then not at all."""
 
     def __init__(self, answers: list[Answer]) -> None:
         self._answers = answers
@@ -38,13 +38,13 @@
         return LOST
 
 
-class AnyPeer:
-    """Keep all."""
+class FakeReplicator:
+    """Peer that stores everything."""
 
-    def choose(self, now: float) -> tuple[Holder, ...]:
+    def choose_replica_holders(self, now: float) -> tuple[Holder, ...]:
         return ()
 
-    async def keep(self, kept: Any, at: Any) -> Result[None, Refusal]:
+    async def persist(self, kept: Any, at: Any) -> Result[None, Refusal]:
         return Ok(None)
 
     async def committed(self, kept: Any) -> None:
@@ -56,20 +56,20 @@
 
 
 def make_queue(ledger: Any, clock: VirtualClock) -> tuple[ChargeQueue, Allotment]:
-    """Return a queue whose charges are kept at peers, and an allotment of ``HELD``."""
-    peer: Any = AnyPeer()
+    """Return a queue whose charges are replicated to peers, and an allotment of ``HELD``."""
+    peer: Any = FakeReplicator()
     queue = ChargeQueue("ledger-0", Holder("b1", 1), ledger, peer, clock, is_bounded=True)
     allotment = Allotment("main", "clerks", SpendPolicy(), queue, clock.now())
     allotment.granted(HELD)
     return queue, allotment
 
 
-def test_what_was_spent_unseen_counts_until_the_ledger_has_it() -> None:
+def test_what_was_spent_unreported_counts_until_the_ledger_has_it() -> None:
     """A workspace gets more than its total: a host spent its bound twice and was killed.
 
-    The ledger is back for one answer and silent again. What was spent meanwhile was on its way
-    when that happened. Cause: the bound counted as new as soon as the command had gone out. The
-    ledger keeps back one bound of a host that is lost, and frees the rest.
+    The ledger answers once and is unresponsive again. A report of what was spent meanwhile was in
+    flight at that time. Cause: the bound was reset as soon as the command had been sent. The
+    ledger withholds one bound of a host that is lost, and frees the rest.
     """
 
     async def main() -> None:
@@ -88,22 +88,23 @@
             await clock.sleep(0.2)
             return Ok(ChargeBatchResult((ChargeOutcome.BILLED,) * len(batch.charges)))
 
-        async def noted_and_lost(batch: ChargeBatch) -> Result[Any, Refusal]:
-            told.append(batch.contact)
+        async def record_and_lose(batch: ChargeBatch) -> Result[Any, Refusal]:
+            contacts.append(batch.contact)
             return LOST
 
-        told: list[Any] = []
-        queue, allotment = make_queue(OneByOne([lost, billed_slowly, noted_and_lost]), clock)
+        contacts: list[Any] = []
+        queue, allotment = make_queue(ScriptedLedger([lost, billed_slowly, record_and_lose]), clock)
         queue.start()
         assert await spend(1, 15) == Ok(None)
         await clock.sleep(0.7)
         assert not queue.in_reach
         assert charges[1].done()
-        # The ledger was told of what it has not got; the command was lost, and counts for nothing.
-        spent_since = queue.reach.told_at
-        assert [(one.is_detached, one.unseen) for one in told] == [(False, (("main", 5),))]
+        # The command reported what the ledger does not have; it was lost, and has no effect.
+        spent_since = queue.reach.last_sent_at
+        assert [(one.is_detached, one.unseen) for one in contacts] == [(False, (("main", 5),))]
         assert allotment.usable < HELD // 4
-        # As much as the bound allows after three seconds: it may be spent then, and no sooner.
+        # The amount that the bound allows after three seconds: it may be spent then, and no
+        # sooner.
         amount = int(unreported_share(3.0) * HELD) - 15 - 5
         allotment.spendable -= amount
         allotment.reserved += amount
@@ -119,20 +120,20 @@
     run_virtual(main())
 
 
-def test_a_long_silence_lets_all_be_spent_and_gifts_come_on_top() -> None:
-    """A cut lasts: a host goes on with what it has, and with what its peers give it."""
+def test_a_long_partition_lets_all_be_spent_and_received_transfers_come_on_top() -> None:
+    """In a long partition a host spends all that it holds, and what its peers give it."""
 
     async def main() -> None:
         clock = VirtualClock()
-        queue, allotment = make_queue(OneByOne([]), clock)
+        queue, allotment = make_queue(ScriptedLedger([]), clock)
         queue.contact()
-        queue.reach.lose()
+        queue.reach.mark_out_of_reach()
         at_once = allotment.usable
         assert 0 < at_once < HELD // 10
-        assert allotment.try_give_unseen(allotment.take(at_once))
+        assert allotment.try_give_unreported(allotment.take(at_once))
         assert allotment.usable == 0
         await clock.sleep(0.5)
-        allotment.got_unseen(100, clock.now())
+        allotment.add_unreported_receipt(100, clock.now())
         allotment.granted(100)
         assert allotment.usable >= 100
         await clock.sleep(FULL_UNREPORTED_DELAY_S)
@@ -141,27 +142,26 @@
     run_virtual(main())
 
 
-def test_a_command_that_is_lost_on_its_way_renews_no_bound() -> None:
-    """The way to the ledger comes and goes: a host spends in a cut, is in reach for a moment, and
-    its next command is lost.
+def test_a_command_that_is_lost_in_flight_resets_no_bound() -> None:
+    """A host spends in a partition, reaches the ledger for a moment, and loses its next command.
 
-    It had told what it spent, and nobody had heard it. Had it begun to count anew, it could spend
-    its bound once for each such moment, and the ledger would keep back one of them.
+    The lost command reported what was spent. If it had reset the count, the host could spend its
+    bound once for each such moment, and the ledger would withhold only one bound.
     """
 
     async def main() -> None:
         clock = VirtualClock()
-        queue, allotment = make_queue(OneByOne([]), clock)
+        queue, allotment = make_queue(ScriptedLedger([]), clock)
         queue.reach.record_answer(queue.contact())
-        queue.reach.lose()
+        queue.reach.mark_out_of_reach()
         await clock.sleep(1.0)
         spent = allotment.usable
         assert spent > 0
-        assert allotment.try_give_unseen(allotment.take(spent))
+        assert allotment.try_give_unreported(allotment.take(spent))
         await clock.sleep(0.1)
-        queue.reach.find()
+        queue.reach.mark_in_reach()
         contact = queue.contact()
-        queue.reach.lose()
+        queue.reach.mark_out_of_reach()
         assert allotment.usable == 0
         queue.reach.record_answer(contact)
         assert allotment.usable > 0
@@ -169,34 +169,37 @@
     run_virtual(main())
 
 
-def test_a_gift_that_was_asked_for_before_the_last_word_raises_no_bound() -> None:
-    """The ledger counts a gift by when it was asked for: so does the host, or it spends more."""
+def test_a_transfer_that_was_requested_before_the_last_command_raises_no_bound() -> None:
+    """The ledger counts a transfer by the time of its request. The host must do the same.
+
+    Otherwise it would spend more than the bound.
+    """
 
     async def main() -> None:
         clock = VirtualClock()
-        queue, allotment = make_queue(OneByOne([]), clock)
+        queue, allotment = make_queue(ScriptedLedger([]), clock)
         asked_at = clock.now()
         await clock.sleep(0.1)
         queue.contact()
-        queue.reach.lose()
+        queue.reach.mark_out_of_reach()
         before = allotment.usable
-        allotment.got_unseen(100, asked_at)
+        allotment.add_unreported_receipt(100, asked_at)
         allotment.granted(100)
         assert allotment.usable < before + 10
 
     run_virtual(main())
 
 
-def test_a_command_that_overtakes_kept_charges_does_not_say_that_nothing_is_kept() -> None:
-    """A workspace gets more than its total: a host is killed as a cut ends.
+def test_a_command_that_overtakes_replicated_charges_does_not_report_that_none_are_left() -> None:
+    """A workspace gets more than its total: a host is killed when a partition ends.
 
-    Charges kept in the cut are on their way when a draw overtakes them and says that nothing
-    is kept any more. The charges are lost with the host, and the ledger frees their money.
+    Charges replicated in the partition are in flight when a draw overtakes them and reports that
+    none are left. The charges are lost with the host, and the ledger frees their money.
     """
 
     async def main() -> None:
         clock = VirtualClock()
-        said: list[Any] = []
+        unseen_amounts: list[Any] = []
 
         async def billed_slowly(batch: ChargeBatch) -> Result[Any, Refusal]:
             second = Charge("main", "clerks", "id-2", 2, 5, 0.0)
@@ -205,32 +208,33 @@
             return Ok(ChargeBatchResult((ChargeOutcome.BILLED,) * len(batch.charges)))
 
         async def overtaken(batch: ChargeBatch) -> Result[Any, Refusal]:
-            said.append(queue.contact().unseen)
+            unseen_amounts.append(queue.contact().unseen)
             return Ok(ChargeBatchResult((ChargeOutcome.BILLED,) * len(batch.charges)))
 
         waits: list[asyncio.Task[Any]] = []
-        queue, allotment = make_queue(OneByOne([lost, billed_slowly, overtaken]), clock)
+        queue, allotment = make_queue(ScriptedLedger([lost, billed_slowly, overtaken]), clock)
         queue.start()
         allotment.take(15)
         first = Charge("main", "clerks", "id-1", 1, 15, 0.0)
         assert await queue.add(first, allotment) == Ok(None)
         await clock.sleep(1.0)
-        assert said == [(("main", 5),)]
+        assert unseen_amounts == [(("main", 5),)]
         assert queue.contact().unseen == ()
         await queue.stop()
 
     run_virtual(main())
 
 
-def test_a_charge_that_is_kept_while_a_commit_waits_is_committed_once() -> None:
-    """A workspace gets more than its total after a leader froze for some seconds.
+def test_a_charge_that_is_replicated_while_a_commit_waits_is_committed_once() -> None:
+    """A workspace gets more than its total after a leader paused for some seconds.
 
-    A commit waits for a correction to be answered, and a draw finds the ledger lost meanwhile: the
-    charges that wait are kept at peers. The commit goes on and sends them too. Counted twice as
-    committed, they leave the host with less than is booked to it, which it claims and spends.
+    A commit waits for the answer to a correction. Meanwhile a draw finds the ledger out of reach,
+    and the waiting charges are replicated to peers. The commit then continues and sends them too.
+    If they are counted as committed twice, the host holds less than is booked to it, and claims
+    and spends the difference.
     """
 
-    class SlowCorrections(OneByOne):
+    class SlowCorrections(ScriptedLedger):
         async def correct(self, group: str, command: Any, timeout: float) -> Result[Any, Refusal]:
             await clock.sleep(0.2)
             return Ok(None)
@@ -253,7 +257,7 @@
         queue.correct(first, 10, allotment)
         _, second = spend(2)
         await clock.sleep(0.1)
-        await queue.lost(Refusal(ErrorKind.TIMEOUT, "no answer"))
+        await queue.mark_out_of_reach(Refusal(ErrorKind.TIMEOUT, "no answer"))
         await clock.sleep(3.0)
         assert second.done()
         assert (allotment.charging, queue.uncommitted) == (0, 0)
