--- a/cranberrywall/commands/_entry_ties.py
+++ b/cranberrywall/commands/_entry_ties.py
@@ -88,7 +88,7 @@
 
     def _meet(self, entries: Sequence[EnrolledHost]) -> None:
         if self._meeting is None or self._meeting.done():
-            work = self.membership.meet([entry.links for entry in entries])
+            work = self.membership.contact_any([entry.links for entry in entries])
             self._meeting = asyncio.get_running_loop().create_task(work)
 
     def _make_server(self, keys: FleetKeys) -> LinkServer:
--- a/cranberrywall/entry/_front.py
+++ b/cranberrywall/entry/_front.py
@@ -54,7 +54,7 @@
         """Bind the addresses as the process starts, or raise ``OSError``."""
         ...
 
-    async def serve(self, parts: FrontendContext) -> None:
+    async def serve(self, context: FrontendContext) -> None:
         """Begin to serve: there is a configuration now."""
         ...
 
--- a/cranberrywall/entry/_stack.py
+++ b/cranberrywall/entry/_stack.py
@@ -62,19 +62,19 @@
 
     def __init__(
         self,
-        parts: CallerParts,
+        context: CallerParts,
         sessions: tuple[aiohttp.ClientSession, ...],
         background: BackgroundTasks,
     ) -> None:
         self._sessions = sessions
         self._background = background
-        self.parts = parts
+        self.context = context
         self._is_draining = False
         self._last_arrival_at = float("-inf")
-        middlewares = [self._make_watch(), make_error_middleware(parts)]
+        middlewares = [self._make_watch(), make_error_middleware(context)]
         self.app = web.Application(middlewares=middlewares)
         self.app.on_response_prepare.append(self._close_connection)
-        self.app.add_routes(make_caller_routes(parts))
+        self.app.add_routes(make_caller_routes(context))
 
     @property
     def session(self) -> aiohttp.ClientSession:
@@ -84,7 +84,7 @@
     @property
     def running(self) -> int:
         """Return how many requests are in progress."""
-        return self.parts.chats.running + self.parts.services.running
+        return self.context.chats.running + self.context.services.running
 
     def start_draining(self) -> None:
         """Ask callers, with each answer, to close their connection after it."""
@@ -96,15 +96,15 @@
 
     async def finish(self) -> None:
         """Return once no request is in progress and what they left is recorded."""
-        await self.parts.chats.wait_idle()
-        await self.parts.services.wait_idle()
+        await self.context.chats.wait_idle()
+        await self.context.services.wait_idle()
         await self._background.wait_empty()
 
     def _make_watch(self) -> Middleware:
         @web.middleware
         async def watch(request: web.Request, handler: Handler) -> web.StreamResponse:
             if request.path.startswith(CALLERS_PREFIXES):
-                self._last_arrival_at = self.parts.clock.now()
+                self._last_arrival_at = self.context.clock.now()
             return await handler(request)
 
         return watch
@@ -123,8 +123,8 @@
 
     async def abort(self) -> None:
         """End everything at once, as a killed process would."""
-        self.parts.chats.abort()
-        self.parts.services.abort()
+        self.context.chats.abort()
+        self.context.services.abort()
         self._background.abort()
         await self.close()
 
@@ -192,7 +192,7 @@
         quarantine,
     )
     services = ServiceCalls(runner, clock, counts, service_limits or ServiceLimits(), background)
-    parts = CallerParts(
+    context = CallerParts(
         host,
         place,
         configuration,
@@ -205,7 +205,7 @@
         counts,
         caller_limits or CallerLimits(),
     )
-    return CallerStack(parts, (session, once_session), background)
+    return CallerStack(context, (session, once_session), background)
 
 
 def _make_session(fetch: SSLContext | None, reuse: bool) -> aiohttp.ClientSession:
--- a/cranberrywall/hosts/_interfaces.py
+++ b/cranberrywall/hosts/_interfaces.py
@@ -92,7 +92,7 @@
         """Join by the seeds, as far as they answer, and take part until ``close``."""
         ...
 
-    async def meet(self, links: Sequence[str]) -> None:
+    async def contact_any(self, links: Sequence[str]) -> None:
         """Compare with one of the hosts at these addresses that this one is out of touch with."""
         ...
 
--- a/cranberrywall/hosts/_membership.py
+++ b/cranberrywall/hosts/_membership.py
@@ -171,7 +171,7 @@
             if await self._sync_with_any(some, next_after_s=0.0):
                 return
 
-    async def meet(self, links: Sequence[str]) -> None:
+    async def contact_any(self, links: Sequence[str]) -> None:
         own = self._roster.own.record.links
         strangers = [address for address in self._out_of_touch(links) if address != own]
         count = min(_MET_AT_MOST, len(strangers))
--- a/tests/hosts/test_membership.py
+++ b/tests/hosts/test_membership.py
@@ -397,7 +397,7 @@
             await fleet.crash(late)
             await fleet.start(late)
             began_at = fleet.clock.now()
-            await late.membership.meet([silent.links, fleet["kranj-2"].links])
+            await late.membership.contact_any([silent.links, fleet["kranj-2"].links])
             assert fleet.clock.now() - began_at < 1.0
             assert len(late.membership.all()) == 6
 
--- a/tests/requests/test_attempts.py
+++ b/tests/requests/test_attempts.py
@@ -82,7 +82,7 @@
         entry = await fleet.entry()
         _, _, data = await fleet.post(entry, chat(stream=True), request_id="r-1")
         assert text_of(frames(data)) == "own text"
-        dropped = entry.stack.parts.metrics.dropped_replies
+        dropped = entry.stack.context.metrics.dropped_replies
         assert dropped.labels("crossed")._value.get() == 1
         assert dropped.labels("doubled")._value.get() == 1
 
@@ -105,7 +105,7 @@
                 status, _, data = await fleet.post(entry, body, request_id=f"r-{number}")
                 assert status == 200
                 assert whole_text(body).encode() in data
-            crossed += entry.stack.parts.metrics.dropped_replies.labels("crossed")._value.get()
+            crossed += entry.stack.context.metrics.dropped_replies.labels("crossed")._value.get()
     assert crossed > 0
 
 
