--- a/cranberrywall/budgets/__init__.py
+++ b/cranberrywall/budgets/__init__.py
@@ -1,4 +1,4 @@
-"""Keep prepaid budgets: the ledger on control hosts, allotments on entry hosts."""
+"""Prepaid budgets: the ledger on control hosts and allotments on entry hosts."""
 
 from cranberrywall.budgets._allotments import make_allotments
 from cranberrywall.budgets._bounds import (
--- a/cranberrywall/budgets/_closing_records.py
+++ b/cranberrywall/budgets/_closing_records.py
@@ -1,7 +1,7 @@
-"""Keep the reports of closed periods as bytes that nothing changes any more.
+"""Stored reports of closed periods, as bytes that do not change any more.
 
-Each closing's digest covers its rows, its exceptions and the digest before it, so that
-a report that was exported can be compared with what the ledger keeps.
+The digest of each closing covers its rows, its exceptions and the previous digest, so that an
+exported report can be compared with the ledger's.
 """
 
 from collections.abc import Iterable, Sequence
@@ -10,15 +10,15 @@
 import msgspec
 import xxhash
 
-from cranberrywall.budgets._ledger_exceptions import Unnamed
+from cranberrywall.budgets._ledger_exceptions import UnlistedCounts
 from cranberrywall.budgets.messages import (
     ClosedPeriod,
     ExceptionRow,
     ReportRow,
 )
 
-KEPT_CLOSINGS = 13
-"""How many closed periods keep their rows: a year of months and one more."""
+MAX_CLOSED_PERIODS = 13
+"""Number of closed periods that are stored with their rows: 12 months and one more."""
 
 _ROWS_IN_CHUNK = 1_000
 
@@ -28,59 +28,59 @@
 
 
 class _Chunk(NamedTuple):
-    last: str
+    last_budget: str
     rows: bytes
 
 
 class _Closing(NamedTuple):
-    about: ClosedPeriod
+    period: ClosedPeriod
     chunks: tuple[_Chunk, ...]
     exceptions: bytes
-    unnamed: Unnamed
+    unlisted: UnlistedCounts
 
 
-class NamedExceptions(NamedTuple):
-    """Hold a closed period's exceptions, and how many more were only counted."""
+class StoredExceptions(NamedTuple):
+    """Exceptions of a closed period, and counts of those that were not listed."""
 
     rows: list[ExceptionRow]
-    unnamed: Unnamed
+    unlisted: UnlistedCounts
 
 
 class Closings:
-    """Hold the closed periods, oldest first."""
+    """Closed periods, oldest first."""
 
     def __init__(self) -> None:
         self._closing_by_period: dict[str, _Closing] = {}
         self._digest = ""
 
     def find(self, period: str) -> ClosedPeriod | None:
-        """Return what is known of a closed period."""
+        """Return the closed period of this name, or ``None``."""
         closing = self._closing_by_period.get(period)
-        return closing.about if closing else None
+        return closing.period if closing else None
 
     def all(self) -> tuple[ClosedPeriod, ...]:
-        """Return the closed periods that are kept, oldest first."""
-        return tuple(closing.about for closing in self._closing_by_period.values())
+        """Return the stored closed periods, oldest first."""
+        return tuple(closing.period for closing in self._closing_by_period.values())
 
     def add(
         self,
-        about: ClosedPeriod,
+        period: ClosedPeriod,
         rows: Sequence[ReportRow],
         exceptions: Sequence[ExceptionRow],
-        unnamed: Unnamed,
+        unlisted: UnlistedCounts,
     ) -> ClosedPeriod:
-        """Write a closing down; return it with its digest."""
+        """Store a closing; return its period with the digest."""
         starts = range(0, len(rows), _ROWS_IN_CHUNK)
         chunks = tuple(_make_chunk(rows[start : start + _ROWS_IN_CHUNK]) for start in starts)
-        named = _ENCODER.encode(exceptions)
-        parts = [_ENCODER.encode(about), *(chunk.rows for chunk in chunks), named]
-        about = about._replace(digest=self._chain(parts))
-        self._closing_by_period[about.period] = _Closing(about, chunks, named, unnamed)
-        while len(self._closing_by_period) > KEPT_CLOSINGS:
+        listed = _ENCODER.encode(exceptions)
+        parts = [_ENCODER.encode(period), *(chunk.rows for chunk in chunks), listed]
+        period = period._replace(digest=self._chain_digest(parts))
+        self._closing_by_period[period.period] = _Closing(period, chunks, listed, unlisted)
+        while len(self._closing_by_period) > MAX_CLOSED_PERIODS:
             del self._closing_by_period[next(iter(self._closing_by_period))]
-        return about
+        return period
 
-    def _chain(self, parts: Iterable[bytes]) -> str:
+    def _chain_digest(self, parts: Iterable[bytes]) -> str:
         hasher = xxhash.xxh64(self._digest.encode())
         for part in parts:
             hasher.update(part)
@@ -88,32 +88,32 @@
         return self._digest
 
     def rows_after(self, period: str, after: str) -> Iterable[ReportRow]:
-        """Yield a closed period's rows whose budget's name is past ``after``."""
+        """Yield a closed period's rows whose budget name sorts after ``after``."""
         for chunk in self._closing_by_period[period].chunks:
-            if chunk.last <= after:
+            if chunk.last_budget <= after:
                 continue
             for row in _ROWS_DECODER.decode(chunk.rows):
                 if row.budget > after:
                     yield row
 
-    def exceptions(self, period: str) -> NamedExceptions:
+    def exceptions(self, period: str) -> StoredExceptions:
         """Return a closed period's exceptions."""
         closing = self._closing_by_period[period]
-        return NamedExceptions(_EXCEPTIONS_DECODER.decode(closing.exceptions), closing.unnamed)
+        return StoredExceptions(_EXCEPTIONS_DECODER.decode(closing.exceptions), closing.unlisted)
 
     def dump(self) -> list[Any]:
         """Return the state, for a snapshot."""
         return [self._digest, list(self._closing_by_period.values())]
 
     def load(self, plain: list[Any]) -> None:
-        """Replace the state by one that ``dump`` gave."""
+        """Replace the state with one that ``dump`` returned."""
         self._digest = plain[0]
         self._closing_by_period = {}
-        for about, chunks, exceptions, unnamed in plain[1]:
-            closed = ClosedPeriod(*about)
-            kept = tuple(_Chunk(*chunk) for chunk in chunks)
+        for period, chunks, exceptions, unlisted in plain[1]:
+            closed = ClosedPeriod(*period)
+            stored = tuple(_Chunk(*chunk) for chunk in chunks)
             self._closing_by_period[closed.period] = _Closing(
-                closed, kept, exceptions, Unnamed(*unnamed)
+                closed, stored, exceptions, UnlistedCounts(*unlisted)
             )
 
 
--- a/cranberrywall/budgets/_corrections.py
+++ b/cranberrywall/budgets/_corrections.py
@@ -1,4 +1,4 @@
-"""Hold what open charges came to in the end, until the ledger knows it."""
+"""Queue of corrections of open charges, until the ledger confirms them."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -9,8 +9,8 @@
 from cranberrywall.budgets.messages import MAX_CHARGES_IN_BATCH, Charge, Correction, Holder
 
 
-class Correcting(NamedTuple):
-    """Hold a correction until the ledger has it; ``holder`` made the charge."""
+class PendingCorrection(NamedTuple):
+    """Correction in the queue; ``holder`` made the charge, and ``surplus`` is what it gets back."""
 
     holder: Holder
     correction: Correction
@@ -24,46 +24,52 @@
 
 
 class CorrectionQueue:
-    """Hold the corrections that the ledger has not confirmed, in their order."""
+    """Corrections that the ledger has not confirmed, oldest first."""
 
     def __init__(self) -> None:
-        self._corrections: deque[Correcting] = deque()
+        self._corrections: deque[PendingCorrection] = deque()
         self._unbilled: set[tuple[str, int]] = set()
 
     def __len__(self) -> int:
-        """Return the number of corrections that wait."""
+        """Return the number of queued corrections."""
         return len(self._corrections)
 
     def correct(
         self, holder: Holder, charge: Charge, amount: int, allotment: ChargedAllotment
     ) -> None:
-        """Queue what a charge, which is durable, came to in the end."""
+        """Queue the final amount of an open charge that is durable."""
         correction = Correction(charge.budget, charge.number, amount)
-        self._corrections.append(Correcting(holder, correction, charge.amount - amount, allotment))
+        self._corrections.append(
+            PendingCorrection(holder, correction, charge.amount - amount, allotment)
+        )
 
     def record_unbilled(self, charge: Charge) -> None:
-        """Note that the ledger has no such charge, or set it aside: it will give nothing back."""
+        """Record that the ledger did not bill a charge, or has put it in doubt.
+
+        The ledger refunds nothing for such a charge.
+        """
         if charge.is_open:
             self._unbilled.add((charge.budget, charge.number))
 
-    def take(self, waiting: Iterable[PendingCharge]) -> list[Correcting]:
-        """Return corrections of one holder whose charges the ledger has; they stay queued.
+    def take(self, queued: Iterable[PendingCharge]) -> list[PendingCorrection]:
+        """Return corrections of one holder whose charges the ledger has; they stay in the queue.
 
-        A caller may leave while its charge waits. Were the correction to go first, it would
-        find nothing to correct, and the money would be spent here and charged there.
+        A caller may disconnect while the charge of its request is still queued. If the correction
+        were sent first, the ledger would find nothing to correct. The surplus would then be spent
+        here and also stay charged at the ledger.
         """
         if not self._corrections:
             return []
-        numbers = {(one.charge.budget, one.charge.number) for one in waiting}
+        numbers = {(item.charge.budget, item.charge.number) for item in queued}
         holder = self._corrections[0].holder
-        first = islice(self._corrections, MAX_CHARGES_IN_BATCH)
-        return [one for one in first if one.holder == holder and one.key not in numbers]
-
-    def confirm(self, corrected: Iterable[Correcting]) -> None:
-        """Forget corrections that the ledger has, and free what it gave back."""
-        for one in corrected:
-            self._corrections.remove(one)
-            if one.key in self._unbilled:
-                self._unbilled.discard(one.key)
+        oldest = islice(self._corrections, MAX_CHARGES_IN_BATCH)
+        return [item for item in oldest if item.holder == holder and item.key not in numbers]
+
+    def confirm(self, corrected: Iterable[PendingCorrection]) -> None:
+        """Remove corrections that the ledger has, and add what it refunded to the allotments."""
+        for item in corrected:
+            self._corrections.remove(item)
+            if item.key in self._unbilled:
+                self._unbilled.discard(item.key)
             else:
-                one.allotment.refunded(one.surplus)
+                item.allotment.refunded(item.surplus)
--- a/cranberrywall/budgets/_ledger_commands.py
+++ b/cranberrywall/budgets/_ledger_commands.py
@@ -1,4 +1,4 @@
-"""Draw from a budget's ledger, and return to it, one numbered step at a time."""
+"""Sends the draws and returns of an entry host's allotments to the ledger."""
 
 from result import Err, Ok, Result
 
@@ -14,11 +14,11 @@
 
 
 class LedgerCommands:
-    """Take the numbered steps of this host's holders.
+    """Sender of draws and returns, which are numbered for each holder and budget.
 
-    A step whose answer was lost may have been applied. It is sent again, unchanged and
-    under its number, before any other one: the ledger then gives its first answer, so
-    that money is neither drawn twice nor forgotten.
+    A command whose answer was lost may have been applied. It is sent again, unchanged and with the
+    same number, before any other command of the allotment. The ledger then repeats its first
+    answer, so no amount is drawn twice or lost.
     """
 
     def __init__(self, ledger: LedgerClient, clock: Clock) -> None:
@@ -29,7 +29,7 @@
     async def draw(
         self, allotment: Allotment, amount: int, minimum: int
     ) -> Result[DrawResult, Refusal]:
-        """Draw ``amount``, or at least ``minimum``; the grant is added to the allotment."""
+        """Draw up to ``amount``, and at least ``minimum``; add the grant to the allotment."""
         finished = await self.resend_pending(allotment)
         if isinstance(finished, Err):
             return Err(finished.err_value)
@@ -44,7 +44,10 @@
         return await self._send_draw(allotment, draw)
 
     async def resend_pending(self, allotment: Allotment) -> Result[None, Refusal]:
-        """Send again what was not answered; until then its money is of use to nobody."""
+        """Send unanswered commands of the allotment again.
+
+        Until they are answered, their amounts cannot be spent by any holder.
+        """
         if allotment.pending_return is not None:
             returned = await self._send_return(allotment, allotment.pending_return)
             if isinstance(returned, Err) and out_of_reach(returned.err_value):
@@ -56,7 +59,7 @@
         return Ok(None)
 
     async def _send_draw(self, allotment: Allotment, draw: Draw) -> Result[DrawResult, Refusal]:
-        # Sent again, it tells of the contact that is made now.
+        # A resent draw reports the current contact.
         contact = allotment.queue.contact()
         draw = draw._replace(contact=contact)
         allotment.pending_draw = draw
@@ -65,7 +68,7 @@
         if isinstance(answer, Ok):
             allotment.queue.reach.record_answer(contact)
         if allotment.pending_draw is not draw:
-            # Another task sent it as well and got the same answer: it is counted once.
+            # Another task sent the same draw and got the same answer, which is counted only once.
             return answer
         if isinstance(answer, Err):
             if not out_of_reach(answer.err_value):
@@ -79,37 +82,38 @@
         return answer
 
     async def give_back(self, allotment: Allotment, amount: int) -> Result[int, Refusal]:
-        """Return up to ``amount`` of what is spendable; gives what was returned."""
+        """Return up to ``amount`` of the spendable amount; return what was given back."""
         finished = await self.resend_pending(allotment)
         if isinstance(finished, Err):
             return Err(finished.err_value)
-        taken = allotment.take(amount)
-        if taken == 0:
+        returned = allotment.take(amount)
+        if returned == 0:
             return Ok(0)
-        step = Return(
+        command = Return(
             allotment.budget,
             allotment.queue.holder,
             allotment.next_return,
-            taken,
+            returned,
             self._clock.wall(),
         )
-        sent = await self._send_return(allotment, step)
-        return sent.map(lambda _: taken)
+        sent = await self._send_return(allotment, command)
+        return sent.map(lambda _: returned)
 
-    async def _send_return(self, allotment: Allotment, step: Return) -> Result[None, Refusal]:
-        # The amount has left the allotment before the step is sent: were it still
-        # spendable, a return whose answer is lost would be spent here and elsewhere.
-        allotment.pending_return = step
+    async def _send_return(self, allotment: Allotment, command: Return) -> Result[None, Refusal]:
+        # The amount is deducted before the command is sent. Otherwise, if the answer is lost, it
+        # could be spent here and again by the holder that draws it next.
+        allotment.pending_return = command
         self.sent += 1
-        answer = await self._ledger.give_back(step, COMMAND_TIMEOUT_S)
-        if allotment.pending_return is not step:
+        answer = await self._ledger.give_back(command, COMMAND_TIMEOUT_S)
+        if allotment.pending_return is not command:
             return answer.map(lambda _: None)
         if isinstance(answer, Err):
             if not out_of_reach(answer.err_value):
-                # The ledger refused it and changed nothing: the money is still held here.
+                # The ledger rejected the command and changed nothing, so the amount is still held
+                # here.
                 allotment.pending_return = None
-                allotment.granted(step.amount)
+                allotment.granted(command.amount)
             return Err(answer.err_value)
         allotment.pending_return = None
-        allotment.next_return = step.number + 1
+        allotment.next_return = command.number + 1
         return Ok(None)
--- a/cranberrywall/budgets/_ledger_contact_gaps.py
+++ b/cranberrywall/budgets/_ledger_contact_gaps.py
@@ -1,27 +1,37 @@
-"""Bound how long a lost holder was silent, by clocks that may begin anew or jump.
+"""Upper bound of the time between a lost holder's last contact and its successor's start.
 
-A machine's steady clock tells it exactly, but begins anew where the machine loses its power.
-Then the times of day tell: those of other hosts too, since some of them may have been stepped.
+A machine's monotonic clock gives this time exactly, but restarts if the machine loses power. In
+that case wall clocks are compared instead. The wall clocks of other hosts are included, because
+some clocks may have been stepped.
 """
 
 from typing import Any, NamedTuple
 
 from cranberrywall.budgets._messages_holders import Contact, Holder
 
-LARGEST_STEP_S = 5.0
-"""Steady clock and time of day of a machine differ by less than this while it has power."""
+MAX_CLOCK_DIFFERENCE_S = 5.0
+"""Maximum difference in seconds between a machine's monotonic clock and its wall clock.
 
-WITNESSES = 9
-"""The hosts heard last whose times of day are noted with a contact, that of the host included."""
+It holds while the machine has power and its wall clock is not stepped. A larger difference means
+that the monotonic clock restarted or that the wall clock was stepped.
+"""
+
+MAX_REFERENCE_HOSTS = 9
+"""Number of recently seen hosts, the holder's own included, whose wall clocks are stored with a
+contact.
+"""
 
-LEAST_WITNESSES = 3
-"""With fewer hosts that tell, one or two stepped clocks could shorten the silence."""
+MIN_REFERENCE_HOSTS = 3
+"""Minimum number of hosts whose clocks are compared: among fewer, one or two stepped clocks could
+make the time too short.
+"""
 
 
-class Heard(NamedTuple):
-    """Hold the clocks of a holder as it last told what is kept elsewhere.
+class LastContact(NamedTuple):
+    """Clocks of a holder at its last contact.
 
-    ``walls`` are the times of day of some hosts as of then, by their last words.
+    ``walls`` are the wall clocks of recently seen hosts at that time, each from the host's own
+    latest command.
     """
 
     clock: float
@@ -29,96 +39,108 @@
     walls: tuple[tuple[str, float], ...] = ()
 
 
-class _Waiting:
-    """Collect what other hosts say after a successor registered, ``up_s`` after its start."""
+class _Recording:
+    """Wall clocks that other hosts report after a successor registered.
 
-    def __init__(self, incarnation: int, up_s: float) -> None:
+    ``uptime_s`` is the time in seconds from the successor's start to its registration.
+    """
+
+    def __init__(self, incarnation: int, uptime_s: float) -> None:
         self.incarnation = incarnation
-        self.up_s = up_s
+        self.uptime_s = uptime_s
         self.wall_by_host: dict[str, float] = {}
 
 
-class Silences:
-    """Know the hosts' times of day, as their commands tell them."""
+class ContactGaps:
+    """Wall clocks of the hosts, as their commands report them."""
 
     def __init__(self) -> None:
         self._wall_by_host: dict[str, float] = {}
-        self._waiting_by_host: dict[str, _Waiting] = {}
+        self._recording_by_host: dict[str, _Recording] = {}
 
-    def note(self, host: str, wall: float) -> None:
-        """Note a host's time of day: it has sent a command."""
+    def record_wall(self, host: str, wall: float) -> None:
+        """Record a host's wall clock from a command of the host."""
         self._wall_by_host.pop(host, None)
         self._wall_by_host[host] = wall
-        for name, waiting in self._waiting_by_host.items():
+        for name, recording in self._recording_by_host.items():
             if name != host:
-                waiting.wall_by_host.setdefault(host, wall)
+                recording.wall_by_host.setdefault(host, wall)
 
-    def heard(self, contact: Contact) -> Heard:
-        """Return what is to be remembered of a contact."""
-        walls = list(self._wall_by_host.items())[-WITNESSES:]
-        return Heard(contact.clock, contact.wall, tuple(walls))
+    def last_contact(self, contact: Contact) -> LastContact:
+        """Return the clocks to store with a contact."""
+        walls = list(self._wall_by_host.items())[-MAX_REFERENCE_HOSTS:]
+        return LastContact(contact.clock, contact.wall, tuple(walls))
 
-    def begin(self, successor: Holder, up_s: float) -> None:
-        """Begin to listen to others, as a successor registers that was started ``up_s`` ago."""
-        waiting = self._waiting_by_host.get(successor.host)
-        if waiting is None or waiting.incarnation != successor.incarnation:
-            self._waiting_by_host[successor.host] = _Waiting(successor.incarnation, up_s)
+    def start_recording(self, successor: Holder, uptime_s: float) -> None:
+        """Start recording other hosts' clocks; the successor was started ``uptime_s`` ago."""
+        recording = self._recording_by_host.get(successor.host)
+        if recording is None or recording.incarnation != successor.incarnation:
+            self._recording_by_host[successor.host] = _Recording(successor.incarnation, uptime_s)
 
-    def end(self, host: str) -> None:
-        """Listen no more for a host: all is known of its older runs."""
-        self._waiting_by_host.pop(host, None)
+    def stop_recording(self, host: str) -> None:
+        """Stop recording other hosts' clocks for ``host``: its older incarnations are released."""
+        self._recording_by_host.pop(host, None)
 
-    def bound(
-        self, successor: Holder, heard: Heard, started_clock: float, now: Contact
+    def bound_gap(
+        self, successor: Holder, last: LastContact, started_clock: float, now: Contact
     ) -> float | None:
-        """Return the most that a run was silent before its successor started, in seconds.
+        """Return the longest time, in seconds, from the last contact to the successor's start.
 
-        ``heard`` is what the run said last, and ``now`` the contact of the successor. ``None``
-        where that is not known, or not yet: more hosts may tell.
+        ``last`` has the clocks of the lost incarnation's last contact, and ``now`` is the contact
+        of the successor. The result is ``None`` if the time is unknown, or if more hosts must
+        report their clocks first.
         """
-        silent_s = started_clock - heard.clock
-        by_day_s = now.wall - heard.wall - (now.clock - started_clock)
-        if silent_s >= 0.0 and abs(silent_s - by_day_s) < LARGEST_STEP_S:
-            return silent_s
-        waiting = self._waiting_by_host.get(successor.host)
-        if waiting is None or waiting.incarnation != successor.incarnation:
-            # What others said after an earlier successor's registration is too old.
+        gap_s = started_clock - last.clock
+        wall_gap_s = now.wall - last.wall - (now.clock - started_clock)
+        if gap_s >= 0.0 and abs(gap_s - wall_gap_s) < MAX_CLOCK_DIFFERENCE_S:
+            return gap_s
+        recording = self._recording_by_host.get(successor.host)
+        if recording is None or recording.incarnation != successor.incarnation:
+            # Clocks that were recorded after an earlier successor's registration are out of date.
             return None
-        told = [
-            waiting.wall_by_host[name] - wall - waiting.up_s
-            for name, wall in heard.walls
-            if name in waiting.wall_by_host
+        gaps_s = [
+            recording.wall_by_host[name] - wall - recording.uptime_s
+            for name, wall in last.walls
+            if name in recording.wall_by_host
         ]
-        others = [name for name, _ in heard.walls if name != successor.host]
-        if len(told) < max(LEAST_WITNESSES, len(others) // 2 + 1):
+        others = [name for name, _ in last.walls if name != successor.host]
+        if len(gaps_s) < max(MIN_REFERENCE_HOSTS, len(others) // 2 + 1):
             return None
-        # A cut may hold other hosts' commands up for its whole length: what they tell is then from
-        # before the loss. The machine's own time of day is not, and is only wrong where stepped.
-        most_s = max(by_day_s, _upper_quartile(told))
-        return most_s if most_s >= 0.0 else None
+        # A network partition may delay other hosts' commands until it ends. Their clocks are then
+        # from before the loss and give too short a time. The machine's own wall clock is current,
+        # and is wrong only if it was stepped, so the longer time counts.
+        max_gap_s = max(wall_gap_s, _upper_quartile(gaps_s))
+        return max_gap_s if max_gap_s >= 0.0 else None
 
     def dump(self) -> list[Any]:
         """Return the state, for a snapshot."""
         return [
             list(self._wall_by_host.items()),
             [
-                [host, one.incarnation, one.up_s, list(one.wall_by_host.items())]
-                for host, one in self._waiting_by_host.items()
+                [
+                    host,
+                    recording.incarnation,
+                    recording.uptime_s,
+                    list(recording.wall_by_host.items()),
+                ]
+                for host, recording in self._recording_by_host.items()
             ],
         ]
 
     def load(self, plain: list[Any]) -> None:
-        """Replace the state by one that ``dump`` gave."""
-        walls, all_waiting = plain
+        """Replace the state with one that ``dump`` returned."""
+        walls, recordings = plain
         self._wall_by_host = dict(walls)
-        self._waiting_by_host = {}
-        for host, incarnation, up_s, told in all_waiting:
-            waiting = self._waiting_by_host[host] = _Waiting(incarnation, up_s)
-            waiting.wall_by_host = dict(told)
+        self._recording_by_host = {}
+        for host, incarnation, uptime_s, reported in recordings:
+            recording = self._recording_by_host[host] = _Recording(incarnation, uptime_s)
+            recording.wall_by_host = dict(reported)
 
 
 def _upper_quartile(values: list[float]) -> float:
-    """Return a value that a quarter exceeds: fewer than three stepped clocks in four hide none.
+    """Return the value that a quarter of ``values`` exceed.
+
+    The result is not too low unless at least three clocks in four were stepped.
 
     >>> _upper_quartile([1.0, 1.1, 1.2, 1.3, -1.0]), _upper_quartile([1.0, 1.2])
     (1.2, 1.2)
--- a/cranberrywall/budgets/_ledger_credits.py
+++ b/cranberrywall/budgets/_ledger_credits.py
@@ -1,7 +1,7 @@
-"""Credit each top-up once.
+"""Top-ups that were applied, so that each is credited once.
 
-Top-ups are kept by their change id over two closings. An older one that arrives again is
-refused by its time instead of being credited twice.
+Top-ups are stored by change id until the second closing after them. An older one that arrives again
+is rejected because of its time, and so is not credited twice.
 """
 
 import sys
@@ -11,7 +11,7 @@
 
 
 class Credits:
-    """Hold the top-ups since the closing before the last."""
+    """Top-ups dated at or after the closing before the last one."""
 
     def __init__(self) -> None:
         self._credit_by_change: dict[str, Credit] = {}
@@ -19,19 +19,21 @@
         self.floor = 0.0
 
     def find(self, change_id: str) -> Credit | None:
-        """Return the top-up with this change id."""
+        """Return the top-up with this change id, or ``None``."""
         return self._credit_by_change.get(change_id)
 
     def add(self, credit: Credit) -> None:
-        """Keep a top-up that was applied."""
-        self._credit_by_change[credit.change_id] = _sharing_names(credit)
+        """Store a top-up that was applied."""
+        self._credit_by_change[credit.change_id] = _intern_names(credit)
 
     def of_budget(self, budget: str) -> tuple[Credit, ...]:
-        """Return a budget's top-ups that are still kept, in the order of arrival."""
-        return tuple(one for one in self._credit_by_change.values() if one.budget == budget)
+        """Return a budget's stored top-ups in the order of arrival."""
+        return tuple(
+            credit for credit in self._credit_by_change.values() if credit.budget == budget
+        )
 
     def close(self, through: float) -> None:
-        """Forget the top-ups from before the last closing."""
+        """Remove the top-ups from before the previous closing."""
         self.floor = self._last_closing
         self._last_closing = through
         self._credit_by_change = {
@@ -45,14 +47,14 @@
         return [self.floor, self._last_closing, list(self._credit_by_change.values())]
 
     def load(self, plain: list[Any]) -> None:
-        """Replace the state by one that ``dump`` gave."""
+        """Replace the state with one that ``dump`` returned."""
         self.floor, self._last_closing, credits = plain
-        kept = (_sharing_names(Credit(*credit)) for credit in credits)
-        self._credit_by_change = {credit.change_id: credit for credit in kept}
+        interned = (_intern_names(Credit(*credit)) for credit in credits)
+        self._credit_by_change = {credit.change_id: credit for credit in interned}
 
 
-def _sharing_names(credit: Credit) -> Credit:
-    """Return an equal credit whose names are shared, since each stands in many of them."""
+def _intern_names(credit: Credit) -> Credit:
+    """Return an equal credit with interned names, because each name occurs in many credits."""
     return credit._replace(
         budget=sys.intern(credit.budget),
         workspace=sys.intern(credit.workspace),
--- a/cranberrywall/budgets/_ledger_exceptions.py
+++ b/cranberrywall/budgets/_ledger_exceptions.py
@@ -1,20 +1,23 @@
-"""Keep by name each duplicate, each late charge and each amount in doubt."""
+"""List of duplicates, late charges and amounts in doubt."""
 
 from typing import Any, NamedTuple
 
 from cranberrywall.budgets.messages import ExceptionKind, ExceptionRow, Holder
 
-MAX_NAMED = 10_000
-"""The most duplicates, and the most late charges, kept by name between two closings.
+MAX_LISTED = 10_000
+"""Maximum number of duplicates, and of late charges, that are listed between two closings.
 
-More are counted. Amounts in doubt are all kept by name, since each holds money.
+Any above it are only counted. All amounts in doubt are listed, since each withholds a part of a
+budget.
 """
 
 _RECORDED, _OPEN, _BILLED, _RELEASED = "recorded", "open", "billed", "released"
 
-_RESOLVE = "decide with: cranberrywallctl budgets resolve, by an operator and an approver"
+_RESOLVE_HINT = "decide with: cranberrywallctl budgets resolve, by an operator and an approver"
 
-_TEXTS: dict[ExceptionKind, tuple[str, str]] = {
+# A closing stores these texts, and its digest covers them. All replicas of a group must compute
+# the same digest, so they must have the same texts.
+_REASON_AND_REMEDY: dict[ExceptionKind, tuple[str, str]] = {
     ExceptionKind.DUPLICATE: (
         "another charge of the request id was billed; this one was not",
         "nothing to do",
@@ -27,16 +30,16 @@
     ExceptionKind.FORGOTTEN_ID: (
         "the charge is older than the ids that the ledger keeps, so it cannot tell "
         "whether the request was billed before",
-        f"compare with the caller's records; {_RESOLVE}",
+        f"compare with the caller's records; {_RESOLVE_HINT}",
     ),
     ExceptionKind.UNFUNDED: (
         "the holder's remainder had come back and was spent elsewhere; billing the charge "
         "would overspend the budget",
-        f"top the budget up, then {_RESOLVE}",
+        f"top the budget up, then {_RESOLVE_HINT}",
     ),
     ExceptionKind.NUMBER_REUSED: (
         "the holder had used the charge's number for another request",
-        f"compare with the host's log; {_RESOLVE}",
+        f"compare with the host's log; {_RESOLVE_HINT}",
     ),
     ExceptionKind.DEAD_HOLDER: (
         "an older incarnation of the host held the amount, and its last charges may be on "
@@ -51,13 +54,13 @@
     ),
 }
 
-_TO_RESOLVE = frozenset(
+_KINDS_TO_RESOLVE = frozenset(
     {ExceptionKind.FORGOTTEN_ID, ExceptionKind.UNFUNDED, ExceptionKind.NUMBER_REUSED}
 )
 
 
 class Entry(NamedTuple):
-    """Describe one exception as it is kept; ``fingerprint`` is its charge's."""
+    """Stored exception; ``fingerprint`` is that of its charge, and 0 if it has none."""
 
     number: int
     kind: ExceptionKind
@@ -74,15 +77,15 @@
     note: str
 
 
-class Unnamed(NamedTuple):
-    """Count the duplicates and the late charges that are not kept by name."""
+class UnlistedCounts(NamedTuple):
+    """Counts of the duplicates and of the late charges that are not listed."""
 
     duplicates: int = 0
     late: int = 0
 
 
 class Exceptions:
-    """Hold the entries since the last closing, and older ones that are still open."""
+    """Exceptions since the last closing, and older ones that are still open."""
 
     def __init__(self) -> None:
         self._next_number = 1
@@ -92,60 +95,62 @@
         self._number_by_fingerprint: dict[int, int] = {}
 
     def record(self, entry: Entry) -> None:
-        """Add an entry under the next number; its ``number`` and ``state`` are set here."""
-        if not self._has_room_for(entry.kind):
+        """Store an entry under the next number; its ``number`` and ``state`` are set here."""
+        if not self._can_list(entry.kind):
             return
-        state = entry.state or (_OPEN if entry.kind in _TO_RESOLVE else _RECORDED)
-        self._keep(entry._replace(number=self._next_number, state=state))
+        state = entry.state or (_OPEN if entry.kind in _KINDS_TO_RESOLVE else _RECORDED)
+        self._store(entry._replace(number=self._next_number, state=state))
         self._next_number += 1
 
-    def _has_room_for(self, kind: ExceptionKind) -> bool:
+    def _can_list(self, kind: ExceptionKind) -> bool:
         if kind is ExceptionKind.DUPLICATE:
             self._duplicates += 1
-            return self._duplicates <= MAX_NAMED
+            return self._duplicates <= MAX_LISTED
         if kind is ExceptionKind.LATE_PERIOD:
             self._late += 1
-            return self._late <= MAX_NAMED
+            return self._late <= MAX_LISTED
         return True
 
     @property
-    def unnamed(self) -> Unnamed:
-        """Return how many were only counted since the last closing."""
-        return Unnamed(max(0, self._duplicates - MAX_NAMED), max(0, self._late - MAX_NAMED))
+    def unlisted(self) -> UnlistedCounts:
+        """Return how many exceptions were only counted since the last closing."""
+        return UnlistedCounts(
+            max(0, self._duplicates - MAX_LISTED), max(0, self._late - MAX_LISTED)
+        )
 
-    def _keep(self, entry: Entry) -> None:
+    def _store(self, entry: Entry) -> None:
         self.entry_by_number[entry.number] = entry
         if entry.fingerprint:
             self._number_by_fingerprint[entry.fingerprint] = entry.number
 
-    def by_charge(self, fingerprint: int) -> Entry | None:
-        """Return the entry that a charge's earlier arrival made."""
+    def find_by_charge(self, fingerprint: int) -> Entry | None:
+        """Return the entry that an earlier arrival of the charge created, or ``None``."""
         number = self._number_by_fingerprint.get(fingerprint)
         return None if number is None else self.entry_by_number[number]
 
     def resolve(self, number: int, billed: bool, note: str) -> None:
-        """End an open entry."""
+        """Set the final state of an open entry."""
         entry = self.entry_by_number[number]
         state = _BILLED if billed else _RELEASED
         self.entry_by_number[number] = entry._replace(state=state, held=0, note=note)
 
     def close(self) -> None:
-        """Forget what the closing has written down, except what is still open."""
+        """Remove the entries that the closing has recorded, except those that are still open."""
         kept = [entry for entry in self.entry_by_number.values() if entry.state == _OPEN]
         self.entry_by_number = {}
         self._number_by_fingerprint = {}
         for entry in kept:
-            self._keep(entry)
+            self._store(entry)
         self._duplicates = 0
         self._late = 0
 
     def count_open(self) -> int:
-        """Return how many entries wait for a decision."""
+        """Return the number of entries that need a decision."""
         return sum(1 for entry in self.entry_by_number.values() if entry.state == _OPEN)
 
     def rows(self) -> list[ExceptionRow]:
-        """Return every entry with its reason and its way out, oldest first."""
-        return [_row(entry) for entry in self.entry_by_number.values()]
+        """Return every entry with its reason and remedy, oldest first."""
+        return [_make_row(entry) for entry in self.entry_by_number.values()]
 
     def dump(self) -> list[Any]:
         """Return the state, for a snapshot."""
@@ -153,20 +158,20 @@
         return [self._next_number, self._duplicates, self._late, entries]
 
     def load(self, plain: list[Any]) -> None:
-        """Replace the state by one that ``dump`` gave."""
+        """Replace the state with one that ``dump`` returned."""
         self._next_number, self._duplicates, self._late, entries = plain
         self.entry_by_number = {}
         self._number_by_fingerprint = {}
         for plain_entry in entries:
             entry = Entry(*plain_entry)
             kind, holder = ExceptionKind(entry.kind), Holder(*entry.holder)
-            self._keep(entry._replace(kind=kind, holder=holder))
+            self._store(entry._replace(kind=kind, holder=holder))
 
 
-def waiting_row(
+def make_holder_row(
     kind: ExceptionKind, budget: str, workspace: str, holder: Holder, amount: int, at: float
 ) -> ExceptionRow:
-    """Return the row for an allotment that waits for evidence; it has no number."""
+    """Return the row for an allotment that is not released yet; it has no number."""
     return ExceptionRow(
         number=0,
         kind=kind,
@@ -178,13 +183,13 @@
         held=0,
         at=at,
         state=_OPEN,
-        reason=_TEXTS[kind][0],
-        remedy=_TEXTS[kind][1],
+        reason=_REASON_AND_REMEDY[kind][0],
+        remedy=_REASON_AND_REMEDY[kind][1],
     )
 
 
-def _row(entry: Entry) -> ExceptionRow:
-    reason, remedy = _TEXTS[entry.kind]
+def _make_row(entry: Entry) -> ExceptionRow:
+    reason, remedy = _REASON_AND_REMEDY[entry.kind]
     return ExceptionRow(
         number=entry.number,
         kind=entry.kind,
--- a/cranberrywall/budgets/_ledger_holders.py
+++ b/cranberrywall/budgets/_ledger_holders.py
@@ -1,21 +1,21 @@
-"""Know each host's latest incarnation, and whether it can still spend."""
+"""Latest incarnation of each host, and last contact of each holder with the ledger."""
 
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from cranberrywall.budgets._ledger_contact_gaps import Heard, Silences
+from cranberrywall.budgets._ledger_contact_gaps import ContactGaps, LastContact
 from cranberrywall.budgets._messages_holders import unreported_share
 from cranberrywall.budgets.messages import Contact, Evidence, Holder
 from cranberrywall.observability import log_event
 
 
 class HostRecord(NamedTuple):
-    """Describe a host's latest incarnation.
+    """State of a host's latest incarnation.
 
-    ``delivered`` says that all that older incarnations left has been sent, and
-    ``released`` what came back by it. ``dead`` says that an operator confirmed its end.
-    ``confirmed`` is the incarnation that was confirmed last, and ``confirmed_released``
-    what came back by that.
+    ``delivered`` is true if everything that older incarnations left has been sent, and ``released``
+    is the amount that was freed because of it. ``dead`` is true if an operator confirmed that the
+    latest incarnation can no longer spend. ``confirmed`` is the incarnation that was confirmed dead
+    last, and ``confirmed_released`` is the amount that was freed because of that.
     """
 
     incarnation: int
@@ -27,32 +27,34 @@
 
 
 class ContactRecord(NamedTuple):
-    """Hold what a holder last said of what is kept elsewhere, and where it keeps since.
+    """What a holder reported at its last contact about data that is replicated to peers.
 
-    ``unseen`` is what was kept of each budget then. ``is_reduced`` says that the part that it
-    cannot have spent was freed after it was lost.
+    ``unreported`` is the amount of each budget that only replica holders had at that time.
+    ``replica_holders`` are the peers that may store the holder's data since then; ``None`` if the
+    holder has not named any yet. ``is_reduced`` is true if the part that the holder cannot have
+    spent was freed after it was lost.
     """
 
-    heard: Heard
-    keepers: tuple[Holder, ...] | None
-    unseen: tuple[tuple[str, int], ...] = ()
+    last: LastContact
+    replica_holders: tuple[Holder, ...] | None
+    unreported: tuple[tuple[str, int], ...] = ()
     is_reduced: bool = False
 
 
-_NO_CONTACT = ContactRecord(Heard(float("-inf"), 0.0), keepers=None)
+_NO_CONTACT = ContactRecord(LastContact(float("-inf"), 0.0), replica_holders=None)
 
 
 class Holders:
-    """Hold one record for each host, and the last contact of each holder with money."""
+    """One record for each host, and the last contact of each holder."""
 
     def __init__(self) -> None:
         self.record_by_host: dict[str, HostRecord] = {}
         self._contact_by_holder: dict[Holder, ContactRecord] = {}
-        self._silences = Silences()
+        self._gaps = ContactGaps()
         self._shared: dict[Holder, Holder] = {}
 
-    def note(self, holder: Holder) -> None:
-        """Raise the host's incarnation where the holder's is higher."""
+    def record_incarnation(self, holder: Holder) -> None:
+        """Record the holder's incarnation if it is later than the host's recorded one."""
         record = self.record_by_host.get(holder.host)
         if record is None:
             self.record_by_host[holder.host] = HostRecord(holder.incarnation)
@@ -64,7 +66,10 @@
             )
 
     def is_current(self, holder: Holder) -> bool:
-        """Say whether no later incarnation is known and nobody confirmed its end."""
+        """Return whether the holder may still get new allotments.
+
+        It may not if a later incarnation is recorded or if it was confirmed dead.
+        """
         record = self.record_by_host.get(holder.host)
         if record is None:
             return True
@@ -73,7 +78,7 @@
         )
 
     def is_released(self, holder: Holder) -> bool:
-        """Say whether it is shown of an ended run that it can have spent nothing more."""
+        """Return whether the incarnation has ended and all that it spent is accounted for."""
         record = self.record_by_host.get(holder.host)
         if record is None or self.is_current(holder):
             return False
@@ -84,102 +89,107 @@
         """Replace a host's record."""
         self.record_by_host[host] = record
 
-    def note_contact(self, holder: Holder, contact: Contact | None) -> None:
-        """Note that the holder itself was heard.
+    def record_contact(self, holder: Holder, contact: Contact | None) -> None:
+        """Record a contact of the holder itself.
 
-        A command that a cut held up may come long after it was sent, and behind later ones:
-        what it says of the holder is no longer true then.
+        A network partition may delay a command, so that it arrives after later ones. What such a
+        command reports about the holder is out of date and is ignored.
         """
         if contact is None:
             return
-        self._silences.note(holder.host, contact.wall)
-        last = self._contact_by_holder.get(holder, _NO_CONTACT)
-        if contact.is_detached or contact.clock < last.heard.clock:
+        self._gaps.record_wall(holder.host, contact.wall)
+        previous = self._contact_by_holder.get(holder, _NO_CONTACT)
+        if contact.is_detached or contact.clock < previous.last.clock:
             return
-        keepers = last.keepers
+        replica_holders = previous.replica_holders
         if contact.keepers is not None:
-            keepers = tuple(self.one(keeper) for keeper in contact.keepers)
-        heard = self._silences.heard(contact)
-        self._contact_by_holder[holder] = ContactRecord(heard, keepers, contact.unseen)
+            replica_holders = tuple(self.intern_holder(peer) for peer in contact.keepers)
+        last = self._gaps.last_contact(contact)
+        self._contact_by_holder[holder] = ContactRecord(last, replica_holders, contact.unseen)
 
-    def forget_contact(self, holder: Holder) -> None:
-        """Forget the contacts of a holder that was released."""
+    def remove_contact(self, holder: Holder) -> None:
+        """Remove the contact record of a released holder."""
         self._contact_by_holder.pop(holder, None)
 
-    def heard_clock(self, holder: Holder) -> float:
-        """Return when a holder last told what is kept elsewhere, by its steady clock."""
-        return self._contact_by_holder.get(holder, _NO_CONTACT).heard.clock
+    def last_contact_clock(self, holder: Holder) -> float:
+        """Return the time of the holder's last contact by its machine's monotonic clock."""
+        return self._contact_by_holder.get(holder, _NO_CONTACT).last.clock
 
-    def unseen(self, holder: Holder) -> dict[str, int]:
-        """Return what was kept elsewhere of each budget as a holder was last heard."""
-        return dict(self._contact_by_holder.get(holder, _NO_CONTACT).unseen)
+    def unreported(self, holder: Holder) -> dict[str, int]:
+        """Return the unreported amount of each budget at the holder's last contact."""
+        return dict(self._contact_by_holder.get(holder, _NO_CONTACT).unreported)
 
-    def older(self, holder: Holder) -> set[Holder]:
-        """Return the older runs of a host that were heard, and not released since."""
+    def older_incarnations(self, holder: Holder) -> set[Holder]:
+        """Return a host's older incarnations that had a contact and are not released yet."""
         host, incarnation = holder
         return {
-            one
-            for one in self._contact_by_holder
-            if one.host == host and one.incarnation < incarnation
+            contacted
+            for contacted in self._contact_by_holder
+            if contacted.host == host and contacted.incarnation < incarnation
         }
 
-    def listen(self, holder: Holder, evidence: Evidence, contact: Contact | None) -> None:
-        """Note the clocks that other hosts tell after this one has registered."""
+    def start_recording_clocks(
+        self, holder: Holder, evidence: Evidence, contact: Contact | None
+    ) -> None:
+        """Start recording other hosts' wall clocks, after a successor has registered."""
         if contact is not None:
-            up_s = contact.clock - evidence.started_clock
-            self._silences.begin(holder, up_s)
+            uptime_s = contact.clock - evidence.started_clock
+            self._gaps.start_recording(holder, uptime_s)
 
-    def listen_no_more(self, host: str) -> None:
-        """Note that nothing is left of the older runs of a host."""
-        self._silences.end(host)
+    def stop_recording_clocks(self, host: str) -> None:
+        """Stop recording other hosts' wall clocks: the older incarnations are released."""
+        self._gaps.stop_recording(host)
 
-    def may_have_spent(
+    def bound_unreported_share(
         self, older: Holder, successor: Holder, evidence: Evidence, contact: Contact | None
     ) -> float | None:
-        """Return the share of its part that a lost run may have spent unseen; ``None`` unknown.
+        """Return the share that a lost incarnation may have spent unreported; ``None`` if unknown.
 
-        It is said once: the next time it would be a share of what that left.
+        The share is returned only once for each lost incarnation: a second reduction would apply
+        the share to the remainder of the first.
         """
         record = self._contact_by_holder.get(older)
         if record is None or record.is_reduced or contact is None:
             return None
-        silent_s = self._silences.bound(successor, record.heard, evidence.started_clock, contact)
-        if silent_s is None:
+        gap_s = self._gaps.bound_gap(successor, record.last, evidence.started_clock, contact)
+        if gap_s is None:
             return None
         self._contact_by_holder[older] = record._replace(is_reduced=True)
-        share = unreported_share(silent_s)
+        share = unreported_share(gap_s)
         log_event(
             "INFO",
             "lost_run_bounded",
             lost=older.host,
             incarnation=older.incarnation,
-            silent_s=silent_s,
+            silent_s=gap_s,
             share=share,
         )
         return share
 
-    def is_proven(self, older: Holder, evidence: Evidence) -> bool:
-        """Say whether ``evidence`` shows that nothing of ``older`` is kept anywhere.
+    def is_proven_empty(self, older: Holder, evidence: Evidence) -> bool:
+        """Return whether ``evidence`` shows that no peer stores data of ``older`` any more.
 
-        Each run of a peer that was named as keeper holds nothing: a later run of it proves
-        nothing, since what the earlier one held in memory is forgotten. A holder that named
-        nobody yet may have kept anywhere what its peers gave it.
+        Each incarnation that was named as replica holder must have nothing left. A later
+        incarnation of the same peer proves nothing, because what the earlier one stored in memory
+        is lost. If the holder has named no replica holders yet, the result is false: any peer that
+        it received money from may store its data.
         """
-        keepers = self._contact_by_holder.get(older, _NO_CONTACT).keepers
-        if keepers is None or not evidence.has_asked:
+        replica_holders = self._contact_by_holder.get(older, _NO_CONTACT).replica_holders
+        if replica_holders is None or not evidence.has_asked:
             return False
         return all(
-            keeper in evidence.empty or keeper.host in evidence.empty_on_disk for keeper in keepers
+            peer in evidence.empty or peer.host in evidence.empty_on_disk
+            for peer in replica_holders
         )
 
-    def keepers(self, holders: Iterable[Holder]) -> tuple[str, ...]:
-        """Return the hosts that may keep anything of ``holders``, sorted."""
+    def replica_hosts(self, holders: Iterable[Holder]) -> tuple[str, ...]:
+        """Return the hosts that may store data of ``holders``, sorted."""
         contacts = [self._contact_by_holder.get(holder, _NO_CONTACT) for holder in holders]
-        keepers = [keeper for contact in contacts for keeper in contact.keepers or ()]
-        return tuple(sorted({keeper.host for keeper in keepers}))
+        peers = [peer for contact in contacts for peer in contact.replica_holders or ()]
+        return tuple(sorted({peer.host for peer in peers}))
 
-    def one(self, holder: Holder) -> Holder:
-        """Return the one shared copy of an equal holder, to save memory in allotments."""
+    def intern_holder(self, holder: Holder) -> Holder:
+        """Return the shared copy of an equal holder, which saves memory in allotments."""
         return self._shared.setdefault(holder, holder)
 
     def dump(self) -> list[Any]:
@@ -189,32 +199,32 @@
             [
                 [
                     *holder,
-                    *record.heard,
-                    _plain(record.keepers),
-                    record.unseen,
+                    *record.last,
+                    _dump_holders(record.replica_holders),
+                    record.unreported,
                     record.is_reduced,
                 ]
                 for holder, record in self._contact_by_holder.items()
             ],
-            self._silences.dump(),
+            self._gaps.dump(),
         ]
 
     def load(self, plain: list[Any]) -> None:
-        """Replace the state by one that ``dump`` gave."""
-        records, contacts, silences = plain
+        """Replace the state with one that ``dump`` returned."""
+        records, contacts, gaps = plain
         self.record_by_host = {host: HostRecord(*record) for host, *record in records}
         self._contact_by_holder = {
             Holder(host, incarnation): ContactRecord(
-                Heard(clock, wall, tuple((name, at) for name, at in walls)),
-                None if keepers is None else tuple(Holder(*keeper) for keeper in keepers),
-                tuple((budget, amount) for budget, amount in unseen),
+                LastContact(clock, wall, tuple((name, at) for name, at in walls)),
+                None if peers is None else tuple(Holder(*peer) for peer in peers),
+                tuple((budget, amount) for budget, amount in unreported),
                 is_reduced,
             )
-            for host, incarnation, clock, wall, walls, keepers, unseen, is_reduced in contacts
+            for host, incarnation, clock, wall, walls, peers, unreported, is_reduced in contacts
         }
-        self._silences.load(silences)
+        self._gaps.load(gaps)
         self._shared = {}
 
 
-def _plain(keepers: tuple[Holder, ...] | None) -> list[list[Any]] | None:
-    return None if keepers is None else [[*keeper] for keeper in keepers]
+def _dump_holders(peers: tuple[Holder, ...] | None) -> list[list[Any]] | None:
+    return None if peers is None else [[*peer] for peer in peers]
--- a/cranberrywall/budgets/_ledger_ids.py
+++ b/cranberrywall/budgets/_ledger_ids.py
@@ -1,13 +1,13 @@
-"""Remember which request ids were charged, and by which charge.
+"""Request ids that were charged, each with the charge that billed it.
 
-The newest ids are in a dictionary. Each time it is full, it becomes a sorted segment of
-16 bytes an id, and small segments are merged into a larger one, since each is searched for
-every charge. Once enough others are kept the oldest segment is forgotten, and the latest
-reservation in it becomes the floor: a charge whose reservation is not after the floor and
-whose id is unknown may have been billed before, so the ledger must not bill it.
+The newest ids are in a dictionary. When it is full, it becomes a sorted segment of 16 bytes an id.
+Small segments are merged into a larger one, because each segment is searched for every charge. Once
+enough newer ids are stored, the oldest segment is evicted, and the latest reservation in it becomes
+the floor. A charge with an unknown id and a reservation that is not after the floor may have been
+billed before, so the ledger must not bill it.
 
-Ids and charges are kept as 64-bit fingerprints (XXH3). Two of 2 million kept ids and one
-new one fall together with a chance of about one in 10**13.
+Ids and charges are stored as 64-bit fingerprints (XXH3). The chance that one new id collides with
+one of 2 million stored ids is about one in 10**13.
 """
 
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -21,10 +21,11 @@
 
 
 class IdLimits(NamedTuple):
-    """Bound the memory for ids.
+    """Limits on the memory for request ids.
 
-    A segment has ``per_segment`` ids, and ``merged`` of them become one. The newest
-    ``kept`` ids are kept at least, and besides them the rest of one merged segment.
+    A segment has ``per_segment`` ids, and ``merged`` segments are merged into one. At least the
+    newest ``kept`` ids are stored; at most the remainder of one merged segment is stored in
+    addition.
     """
 
     per_segment: int = 65_536
@@ -33,82 +34,87 @@
 
 
 def id_fingerprint(workspace: str, request_id: str) -> int:
-    """Return the fingerprint that names one request."""
+    """Return the fingerprint that identifies one request."""
     return xxhash.xxh3_64_intdigest(f"{workspace}\0{request_id}".encode())
 
 
 def charge_fingerprint(holder: Holder, charge: Charge) -> int:
-    """Return the fingerprint that tells a resent charge from another one of the same id."""
+    """Return the fingerprint by which a resent charge is recognised."""
     text = f"{holder.host}\0{holder.incarnation}\0{charge.budget}\0{charge.number}"
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
 class ChargeIds:
-    """Map the ids of charged requests to the charge that was first."""
+    """Request ids, each with the fingerprint of the first charge for it."""
 
     def __init__(self, limits: IdLimits) -> None:
         self._limits = limits
         self._charge_by_id: dict[int, int] = {}
-        self._latest = 0.0
+        self._latest_reserved_at = 0.0
         self._segments: list[Segment] = []
         self.floor = 0.0
-        # Hosts that only spend have no ids to keep, and do without the module's library.
+        # Imported here so that entry hosts, which store no ids, do not load the library that the
+        # module needs.
         from cranberrywall.budgets import _id_segments
 
-        self._make = _id_segments
+        self._segment_module = _id_segments
 
     def __len__(self) -> int:
-        """Return the number of ids that are kept."""
+        """Return the number of stored ids."""
         return len(self._charge_by_id) + sum(len(segment.ids) for segment in self._segments)
 
-    def find_old(self, ids: list[int]) -> dict[int, int]:
-        """Return the charges of those ids that are in a segment.
+    def find_in_segments(self, ids: list[int]) -> dict[int, int]:
+        """Return the charges of those ``ids`` that are in a segment.
 
-        One call for a whole batch, since a search costs little more for many ids.
+        Call it once for a full batch: a search for many ids costs little more than one for a single
+        id.
         """
         found: dict[int, int] = {}
         for segment in self._segments:
             found |= segment.find(ids)
         return found
 
-    def find_new(self, id_: int) -> int | None:
-        """Return the charge of an id that is not in a segment yet."""
+    def find_recent(self, id_: int) -> int | None:
+        """Return the charge of an id that is not in a segment yet, or ``None``."""
         return self._charge_by_id.get(id_)
 
     def add(self, id_: int, charge: int, reserved_at: float) -> None:
-        """Note the first charge of an id."""
+        """Record the first charge of an id."""
         self._charge_by_id[id_] = charge
-        self._latest = max(self._latest, reserved_at)
+        self._latest_reserved_at = max(self._latest_reserved_at, reserved_at)
 
     def trim(self) -> None:
-        """Move the newest ids to a segment and forget the oldest segment, where due.
+        """Move the newest ids to a segment and evict the oldest segments, if the limits require it.
 
-        Call it between batches: ``find_old`` answers for the segments of its time.
+        Call it only between batches, because it invalidates earlier results of
+        ``find_in_segments``.
         """
         if len(self._charge_by_id) < self._limits.per_segment:
             return
-        self._segments.append(self._make.make_segment(self._charge_by_id, self._latest))
+        self._segments.append(
+            self._segment_module.make_segment(self._charge_by_id, self._latest_reserved_at)
+        )
         self._charge_by_id = {}
-        self._latest = 0.0
-        self._merge_small()
+        self._latest_reserved_at = 0.0
+        self._merge_small_segments()
         while len(self) - len(self._segments[0].ids) >= self._limits.kept:
             self.floor = max(self.floor, self._segments.pop(0).latest)
 
-    def _merge_small(self) -> None:
+    def _merge_small_segments(self) -> None:
         small = self._segments[-self._limits.merged :]
         is_large = any(len(one.ids) >= 2 * self._limits.per_segment for one in small)
         if len(small) < self._limits.merged or is_large:
             return
-        self._segments[-self._limits.merged :] = [self._make.merge_segments(small)]
+        self._segments[-self._limits.merged :] = [self._segment_module.merge_segments(small)]
 
     def dump(self) -> list[Any]:
         """Return the state, for a snapshot."""
-        newest = self._make.make_segment(self._charge_by_id, self._latest)
+        newest = self._segment_module.make_segment(self._charge_by_id, self._latest_reserved_at)
         return [self.floor, [one.dump() for one in (*self._segments, newest)]]
 
     def load(self, plain: list[Any]) -> None:
-        """Replace the state by one that ``dump`` gave."""
+        """Replace the state with one that ``dump`` returned."""
         self.floor = plain[0]
-        *self._segments, newest = [self._make.load_segment(one) for one in plain[1]]
+        *self._segments, newest = [self._segment_module.load_segment(one) for one in plain[1]]
         self._charge_by_id = newest.as_dictionary()
-        self._latest = newest.latest
+        self._latest_reserved_at = newest.latest
--- a/cranberrywall/budgets/_ledger_machine.py
+++ b/cranberrywall/budgets/_ledger_machine.py
@@ -1,4 +1,4 @@
-"""Apply a ledger group's commands, and answer its queries."""
+"""Ledger state machine: applies the commands of a ledger group and answers its queries."""
 
 import sys
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 
 from cranberrywall.budgets import _closing as closing
 from cranberrywall.budgets import _ledger_charges as charges
-from cranberrywall.budgets import _ledger_movements as holding
+from cranberrywall.budgets import _ledger_movements as movements
 from cranberrywall.budgets import messages
 from cranberrywall.budgets._closing_calendar import MAX_TIME
 from cranberrywall.budgets._ledger_accounts import Account
@@ -18,16 +18,17 @@
 from cranberrywall.replication import StateMachine
 
 MAX_AMOUNT = 2**53
-"""The most that one command may move: larger numbers do not survive JSON everywhere."""
+"""Maximum amount of one command: larger integers lose precision in many JSON parsers."""
 
 UNITS = ("tokens", "answers")
 
 
 class LedgerSummary(NamedTuple):
-    """Count what one ledger group keeps on this host, for the state dump and the metrics.
+    """Size of one ledger group's state on this host, for the state dump and the metrics.
 
-    ``id_floor`` is the latest reservation among the ids that were forgotten, in seconds
-    since the epoch; 0 where none was.
+    ``id_floor`` is the latest reservation time among the request ids that were evicted, in seconds
+    since the epoch; 0 if none was evicted. ``closed_through`` is the end of the last closed period,
+    in seconds since the epoch.
     """
 
     budgets: int
@@ -40,15 +41,15 @@
 
 
 class LedgerMachine(StateMachine, Protocol):
-    """Replicate a ledger, and say how much it keeps on this host."""
+    """Replicated state machine of a ledger group."""
 
     def summary(self) -> LedgerSummary:
-        """Return counts of this host's copy, which may lag behind the leader's."""
+        """Return the sizes of this host's copy, which may lag behind the leader's."""
         ...
 
 
 def make_ledger_machine(limits: IdLimits | None = None) -> LedgerMachine:
-    """Return an empty ledger; ``limits`` bounds the memory for request ids."""
+    """Return an empty ledger; ``limits`` bounds the memory used for request ids."""
     return _LedgerMachine(limits or IdLimits())
 
 
@@ -59,17 +60,17 @@
         self._apply_by_type: dict[type, Callable[[LedgerState, Any], Any]] = {
             messages.Credit: _credit,
             messages.RaiseCredits: _raise_credits,
-            messages.Draw: holding.draw,
-            messages.Return: holding.give_back,
+            messages.Draw: movements.draw,
+            messages.Return: movements.give_back,
             messages.ChargeBatch: charges.apply_batch,
-            messages.Corrections: charges.correct,
-            messages.RegisterHolder: holding.register,
-            messages.ConfirmDead: holding.confirm_dead,
-            messages.Recall: holding.recall,
-            messages.Transfer: holding.transfer,
-            messages.TransferBatch: holding.transfer_batch,
-            messages.RecordIntent: lambda state, command: state.intents.record(command),
-            messages.RecordOutcome: lambda state, command: state.intents.resend_pending(command),
+            messages.Corrections: charges.apply_corrections,
+            messages.RegisterHolder: movements.register,
+            messages.ConfirmDead: movements.confirm_dead,
+            messages.Recall: movements.recall,
+            messages.Transfer: movements.transfer,
+            messages.TransferBatch: movements.transfer_batch,
+            messages.RecordIntent: lambda state, command: state.intents.record_intent(command),
+            messages.RecordOutcome: lambda state, command: state.intents.record_outcome(command),
             messages.PlanPeriods: closing.plan_periods,
             messages.ClosePeriod: closing.close_period,
             messages.ResolveDoubt: charges.resolve_doubt,
@@ -78,7 +79,7 @@
             messages.BudgetQuery: _budget,
             messages.CreditsQuery: _credits,
             messages.HoldersQuery: _holders,
-            messages.RecallsQuery: holding.recalls,
+            messages.RecallsQuery: movements.recalls,
             messages.IntentQuery: lambda state, query: state.intents.find(query),
             messages.ClosePeriod: closing.check_closing,
             messages.ReportQuery: closing.report,
@@ -88,11 +89,11 @@
         }
 
     def apply(self, command: bytes) -> bytes:
-        """Apply one command; raise ``LedgerInvariantError`` rather than overspend."""
+        """Apply one command; raise ``LedgerInvariantError`` instead of overspending."""
         return self._dispatch(self._apply_by_type, command)
 
     def query(self, query: bytes) -> bytes:
-        """Answer one query."""
+        """Answer one query without changing the state."""
         return self._dispatch(self._answer_by_type, query)
 
     def _dispatch(
@@ -105,11 +106,13 @@
         handle = by_type.get(type(message))
         if handle is None:
             name = type(message).__name__
-            return LEDGER_CODEC.encode(Rejected(ErrorKind.MALFORMED, f"{name} is not taken here"))
+            return LEDGER_CODEC.encode(
+                Rejected(ErrorKind.MALFORMED, f"{name} is not accepted here")
+            )
         return LEDGER_CODEC.encode(handle(self._state, message))
 
     def summary(self) -> LedgerSummary:
-        """Return counts of this copy."""
+        """Return the sizes of this host's copy."""
         state = self._state
         return LedgerSummary(
             budgets=len(state.account_by_budget),
@@ -122,20 +125,20 @@
         )
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the full state."""
         return self._state.dump()
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the whole state; the sums of every budget are added up again."""
+        """Replace the full state, and check every budget's sums against their parts."""
         state = LedgerState(self._limits)
         state.load(snapshot)
         self._state = state
 
 
 def _credit(state: LedgerState, command: messages.Credit) -> messages.Accepted | Rejected:
-    known = state.credits.find(command.change_id)
-    if known is not None:
-        return _credited_before(known, command)
+    existing = state.credits.find(command.change_id)
+    if existing is not None:
+        return _answer_repeated_credit(existing, command)
     refusal = _check_credit(state, command)
     if refusal is not None:
         return refusal
@@ -153,53 +156,60 @@
 def _raise_credits(
     state: LedgerState, command: messages.RaiseCredits
 ) -> messages.Accepted | Rejected:
-    for wanted in command.totals:
-        account = state.account_by_budget.get(wanted.budget)
+    for target_total in command.totals:
+        account = state.account_by_budget.get(target_total.budget)
         credited = account.credited if account else 0
-        if wanted.total <= credited:
+        if target_total.total <= credited:
             continue
-        # The change id names the total, so that the list of top-ups tells where each part
-        # came from.
+        # The change id contains the total, so that the list of top-ups shows which total each
+        # credit belongs to.
         credit = messages.Credit(
-            wanted.budget,
-            wanted.workspace,
-            wanted.unit,
-            wanted.total - credited,
-            f"total {wanted.total} of {wanted.budget}",
+            target_total.budget,
+            target_total.workspace,
+            target_total.unit,
+            target_total.total - credited,
+            f"total {target_total.total} of {target_total.budget}",
             command.operator,
             max(command.at, state.credits.floor),
         )
-        credited_now = _credit(state, credit)
-        if isinstance(credited_now, Rejected):
-            return credited_now
+        answer = _credit(state, credit)
+        if isinstance(answer, Rejected):
+            return answer
     return messages.Accepted()
 
 
-def _credited_before(
-    known: messages.Credit, command: messages.Credit
+def _answer_repeated_credit(
+    existing: messages.Credit, command: messages.Credit
 ) -> messages.Accepted | Rejected:
-    if (known.budget, known.amount, known.unit) == (command.budget, command.amount, command.unit):
+    if (existing.budget, existing.amount, existing.unit) == (
+        command.budget,
+        command.amount,
+        command.unit,
+    ):
         return messages.Accepted()
-    message = f"it credited {known.amount} to {known.budget}, by {known.operator}"
-    remedy = "give this top-up a change id of its own"
+    message = (
+        f"the change id already credited {existing.amount} to {existing.budget}, "
+        f"by {existing.operator}"
+    )
+    remedy = "use a different change id for this top-up"
     return Rejected(ErrorKind.CONFLICT, message, "change_id", remedy)
 
 
 def _check_credit(state: LedgerState, command: messages.Credit) -> Rejected | None:
     for field in ("budget", "workspace", "change_id", "operator"):
         if not getattr(command, field):
-            return Rejected(ErrorKind.BAD_REQUEST, "must not be empty", field, "name it")
+            return Rejected(ErrorKind.BAD_REQUEST, "must not be empty", field, "set this field")
     if not 1 <= command.amount <= MAX_AMOUNT:
-        remedy = f"give 1 to {MAX_AMOUNT}"
+        remedy = f"use an amount from 1 to {MAX_AMOUNT}"
         return Rejected(ErrorKind.BAD_REQUEST, "is out of range", "amount", remedy)
     if not state.credits.floor <= command.at < MAX_TIME:
-        remedy = "look for the top-up in the closed report; if it is new, check the clock"
-        message = "it is older than the top-ups that are kept, and may have been credited"
+        remedy = "check the closed report for the top-up; if it is new, check the clock"
+        message = "older than the retained top-ups; it may already have been credited"
         return Rejected(ErrorKind.PERIOD_CLOSED, message, "at", remedy)
     account = state.account_by_budget.get(command.budget)
     unit = account.unit if account else command.unit
     if command.unit not in UNITS or command.unit != unit:
-        allowed = f"give {unit}" if unit in UNITS else f"give one of {', '.join(UNITS)}"
+        allowed = f"set it to {unit}" if unit in UNITS else f"set it to one of {', '.join(UNITS)}"
         return Rejected(ErrorKind.BAD_REQUEST, "is not the budget's unit", "unit", allowed)
     return None
 
@@ -207,7 +217,7 @@
 def _budget(state: LedgerState, query: messages.BudgetQuery) -> messages.BudgetResult | Rejected:
     account = state.account_by_budget.get(query.budget)
     if account is None:
-        return holding.no_budget(query.budget)
+        return movements.reject_unknown_budget(query.budget)
     held = tuple(
         messages.HeldAmount(holder, allotment.outstanding, allotment.active_at)
         for holder, allotment in sorted(
@@ -242,12 +252,12 @@
         sum_by_holder[holder] = messages.HolderSum(holder, current, 0, 0, 0.0)
     for account in state.account_by_budget.values():
         for holder, allotment in account.allotment_by_holder.items():
-            known = sum_by_holder.get(holder)
-            if known is None:
-                known = messages.HolderSum(holder, state.holders.is_current(holder), 0, 0, 0.0)
-            sum_by_holder[holder] = known._replace(
-                outstanding=known.outstanding + allotment.outstanding,
-                budgets=known.budgets + 1,
-                active_at=max(known.active_at, allotment.active_at),
+            holder_sum = sum_by_holder.get(holder)
+            if holder_sum is None:
+                holder_sum = messages.HolderSum(holder, state.holders.is_current(holder), 0, 0, 0.0)
+            sum_by_holder[holder] = holder_sum._replace(
+                outstanding=holder_sum.outstanding + allotment.outstanding,
+                budgets=holder_sum.budgets + 1,
+                active_at=max(holder_sum.active_at, allotment.active_at),
             )
     return messages.HoldersResult(tuple(sum_by_holder[holder] for holder in sorted(sum_by_holder)))
--- a/cranberrywall/budgets/_ledger_numbers.py
+++ b/cranberrywall/budgets/_ledger_numbers.py
@@ -1,13 +1,13 @@
-"""Remember which numbers of a rising sequence have arrived."""
+"""Set of the numbers of a rising sequence that have arrived."""
 
 from collections.abc import Iterable
 
 MAX_AHEAD = 4_096
-"""How far past the first missing number one is remembered; it bounds the memory."""
+"""How far above the first missing number a number is still recorded; this bounds the memory."""
 
 
 class NumberSet:
-    """Hold numbers from 1 as a mark below which all arrived, and the few above it.
+    """Set of numbers from 1: a bound up to which all arrived, and the few numbers above it.
 
     >>> seen = NumberSet()
     >>> seen.add(2), seen.add(1)
@@ -23,13 +23,13 @@
         self._above: set[int] | None = set(above) or None
 
     def __contains__(self, number: int) -> bool:
-        """Say whether ``number`` has arrived; numbers below 1 never do."""
+        """Return whether ``number`` has arrived; false for any number below 1."""
         return 0 < number <= self.through or (self._above is not None and number in self._above)
 
     def add(self, number: int) -> bool:
-        """Note that ``number`` arrived; return false where it had arrived before.
+        """Record that ``number`` arrived; return false if it had arrived before.
 
-        One that is more than ``MAX_AHEAD`` past the first missing number is not kept.
+        A number that is more than ``MAX_AHEAD`` above the first missing one is not recorded.
         """
         if number in self:
             return False
--- a/cranberrywall/budgets/_ledger_state.py
+++ b/cranberrywall/budgets/_ledger_state.py
@@ -1,4 +1,4 @@
-"""Bundle the parts of a ledger group's state."""
+"""State of a ledger group and its snapshot format."""
 
 import gc
 import sys
@@ -20,11 +20,11 @@
 from cranberrywall.budgets.messages import Holder
 
 _VERSION = 3
-_VERSIONS_WITHOUT_SILENCES = (1, 2)
+_VERSIONS_WITHOUT_CLOCKS = (1, 2)
 
 
 class LedgerState:
-    """Hold every part; each dumps and loads itself for the snapshot."""
+    """All parts of the state; each part dumps and loads itself for the snapshot."""
 
     def __init__(self, limits: IdLimits) -> None:
         self.account_by_budget: dict[str, Account] = {}
@@ -37,41 +37,41 @@
         self.closings = Closings()
         self.spend = SpendByDay()
         self._sorted_budgets: list[str] = []
-        # Every holder asks again and again what was recalled, so that must not cost a
-        # walk over all budgets. It follows from the accounts and is in no snapshot.
+        # Index of the recalled allotments: every holder polls for its recalls, so a query must not
+        # scan all budgets. The index is derived from the accounts and is not part of the snapshot.
         self._recalled_by_holder: dict[Holder, set[str]] = {}
 
-    def note_recall(self, budget: str, holder: Holder) -> None:
-        """Note that a holder was asked to return a part of its allotment."""
+    def record_recall(self, budget: str, holder: Holder) -> None:
+        """Record that a holder was asked to return a part of its allotment."""
         self._recalled_by_holder.setdefault(holder, set()).add(budget)
 
     def recalled_budgets(self, holder: Holder) -> list[str]:
-        """Return the budgets of which a holder was asked to return a part, in order."""
+        """Return the sorted budgets of which the holder was asked to return a part."""
         return sorted(self._recalled_by_holder.get(holder, ()))
 
     def end_recall(self, budget: str, holder: Holder) -> None:
-        """Note that a holder has returned what it was asked for."""
+        """Record that a holder has returned the recalled amount."""
         budgets = self._recalled_by_holder.get(holder, set())
         budgets.discard(budget)
         if not budgets:
             self._recalled_by_holder.pop(holder, None)
 
-    def forget_holder(self, holder: Holder) -> None:
-        """Note that a holder was released."""
+    def remove_recalls(self, holder: Holder) -> None:
+        """Remove the recalls of a released holder."""
         self._recalled_by_holder.pop(holder, None)
 
     def sorted_budgets(self) -> list[str]:
-        """Return the budgets' names in order; the list is kept until one is added."""
+        """Return the sorted names of the budgets; the list is cached until one is added."""
         if len(self._sorted_budgets) != len(self.account_by_budget):
             self._sorted_budgets = sorted(self.account_by_budget)
         return self._sorted_budgets
 
-    def rebook(self, moved: MovedEnd | None) -> None:
-        """Change the end of an open period in every account, where it moved."""
+    def apply_moved_end(self, moved: MovedEnd | None) -> None:
+        """Change the end of an open period in every account, if it moved."""
         if moved is None:
             return
         for account in self.account_by_budget.values():
-            account.rebook(moved.old, moved.new)
+            account.move_period_end(moved.old, moved.new)
 
     def _parts(self) -> list[Any]:
         return [
@@ -86,39 +86,41 @@
         ]
 
     def dump(self) -> bytes:
-        """Return the whole state as bytes."""
-        with _without_collection():
+        """Return the full state as bytes."""
+        with _garbage_collection_suspended():
             parts = [part.dump() for part in self._parts()]
             accounts = [[name, account.dump()] for name, account in self.account_by_budget.items()]
             return msgspec.msgpack.encode([_VERSION, parts, accounts])
 
     def load(self, data: bytes) -> None:
-        """Replace the whole state by one that ``dump`` gave; raise ``ValueError`` on another."""
-        with _without_collection():
+        """Replace the state with one that ``dump`` returned; raise ``ValueError`` on others."""
+        with _garbage_collection_suspended():
             version, parts, accounts = msgspec.msgpack.decode(data)
-            if version in _VERSIONS_WITHOUT_SILENCES:
-                # What older versions noted of contacts bounds no silence: nothing is freed by it.
+            if version in _VERSIONS_WITHOUT_CLOCKS:
+                # Contacts in older versions lack the clocks that are needed to bound the time
+                # without contact, so they are discarded; nothing is freed because of them.
                 records = parts[0][0] if version > 1 else parts[0]
                 parts[0] = [records, [], [[], []]]
             elif version != _VERSION:
-                raise ValueError(f"a ledger snapshot of version {version} is not readable")
+                raise ValueError(f"unsupported version {version} of a ledger snapshot")
             for part, plain in zip(self._parts(), parts, strict=True):
                 part.load(plain)
             self.account_by_budget = {
-                sys.intern(name): load_account(plain, self.holders.one) for name, plain in accounts
+                sys.intern(name): load_account(plain, self.holders.intern_holder)
+                for name, plain in accounts
             }
             for budget, account in self.account_by_budget.items():
                 for holder, allotment in account.allotment_by_holder.items():
                     if allotment.recalled:
-                        self.note_recall(budget, holder)
+                        self.record_recall(budget, holder)
 
 
 @contextmanager
-def _without_collection() -> Iterator[None]:
-    """Put off the garbage collector, which would walk the whole state many times.
+def _garbage_collection_suspended() -> Iterator[None]:
+    """Suspend the garbage collector, which would scan the full state many times.
 
-    A snapshot makes millions of small objects and no cycles. With the collector at work
-    it takes five times as long, and the group stands still meanwhile.
+    A snapshot creates millions of small objects and no cycles. With the collector enabled it takes
+    five times as long, and the group is blocked during that time.
     """
     was_enabled = gc.isenabled()
     gc.disable()
--- a/cranberrywall/budgets/_messages_closing.py
+++ b/cranberrywall/budgets/_messages_closing.py
@@ -1,20 +1,21 @@
-"""Define the messages about periods, closings and reports."""
+"""Messages about periods, closings and reports."""
 
 from typing import NamedTuple
 
 
 class PlannedPeriod(NamedTuple):
-    """Name a period that ends before ``through``."""
+    """Name of a period and its end, ``through``, which is not part of the period."""
 
     period: str
     through: float
 
 
 class PlanPeriods(NamedTuple):
-    """Replace the plan of the periods to come, oldest first; each group gets the same.
+    """Command that replaces the plan of future periods, oldest first; sent to each group.
 
-    Without a plan, and after its last period, periods are calendar months in UTC, named
-    ``2026-11``. An end that a charge was already booked by cannot change.
+    Without a plan, and after its last period, periods are calendar months in UTC with names such as
+    ``2026-11``. The end of a period cannot change if charges before and after it are booked
+    already.
     """
 
     periods: tuple[PlannedPeriod, ...]
@@ -23,15 +24,15 @@
 
 
 class ClosePeriod(NamedTuple):
-    """Close the period that ends before ``through``; each group gets the same command.
+    """Command that closes the period that ends before ``through``; sent to each group.
 
-    A charge belongs to the period in which its reservation was made. ``through`` is the
-    period's planned end, or any time after the last reservation that was charged. Closing
-    the same period again with the same ``through`` gives the first answer.
+    A charge belongs to the period in which its reservation was made. ``through`` is the period's
+    planned end, or any time after the last reservation that was charged. If the same period is
+    closed again with the same ``through``, the first answer is repeated.
 
-    Asked as a query it changes nothing: the answer's digest is empty where the period
-    could be closed. All groups are asked so before the first one is told to close, or one
-    could close with an end that another must refuse.
+    Sent as a query, the message changes nothing; the answer's digest is empty if the period can be
+    closed. All groups are queried before the command is sent to the first one. Otherwise one group
+    could close a period with an end that another group must reject.
     """
 
     period: str
@@ -41,23 +42,23 @@
 
 
 class ClosePeriodResult(NamedTuple):
-    """Give the closing's digest (XXH64, hex), which covers the earlier closing's digest."""
+    """Digest of a closing (XXH64, hex), which covers the digest of the previous closing."""
 
     digest: str
 
 
 class PeriodsQuery(NamedTuple):
-    """Ask for the closed periods that the group keeps, and for those that are open.
+    """Query for the closed periods that the group stores, and for the open ones.
 
-    The open ones are those that charges were booked to, and the one of ``now`` (seconds
-    since the epoch).
+    The open periods are those with booked charges and the one that contains ``now``, in seconds
+    since the epoch.
     """
 
     now: float
 
 
 class ClosedPeriod(NamedTuple):
-    """Describe one closed period."""
+    """A closed period."""
 
     period: str
     through: float
@@ -67,14 +68,14 @@
 
 
 class PeriodsResult(NamedTuple):
-    """List the closed periods and the open ones, each oldest first."""
+    """Closed periods and open ones, each oldest first."""
 
     periods: tuple[ClosedPeriod, ...]
     open_periods: tuple[PlannedPeriod, ...]
 
 
 class WorkspaceCharge(NamedTuple):
-    """Give what one workspace was charged on a budget in the period."""
+    """Charges of one workspace on a budget in the period."""
 
     workspace: str
     amount: int
@@ -82,10 +83,10 @@
 
 
 class ReportQuery(NamedTuple):
-    """Ask for a page of the report: the open period, or the closed one named.
+    """Query for a page of the report of the closed ``period``; empty selects the open one.
 
-    ``workspace`` chooses one workspace; empty gives all. ``after`` is the last page's
-    ``next_after``, empty at first. ``limit`` bounds the budgets on a page.
+    ``workspace`` selects one workspace; empty selects all. ``after`` is the ``next_after`` of the
+    previous page, and empty for the first page. ``limit`` bounds the number of budgets on a page.
     """
 
     period: str
@@ -95,13 +96,13 @@
 
 
 class ReportRow(NamedTuple):
-    """Give one budget's sums, with what each of its workspaces was charged.
+    """Sums of one budget, with the charges of each of its workspaces.
 
-    ``credited = charged_before + charged + charged_after + outstanding + in_doubt + free``,
-    where ``charged`` is the period's own, ``charged_before`` that of all earlier periods
-    and ``charged_after`` what was already charged for reservations after its end.
-    ``credits`` and ``credits_after`` are the parts of ``credited`` that came in this
-    period, and after it.
+    ``credited = charged_before + charged + charged_after + outstanding + in_doubt + free``.
+    ``charged`` is the charged amount of the period, ``charged_before`` that of all earlier periods,
+    and ``charged_after`` what was already charged for reservations after the period's end.
+    ``credits`` and ``credits_after`` are the parts of ``credited`` that belong to this period and
+    to later ones.
     """
 
     budget: str
@@ -119,9 +120,9 @@
 
 
 class ReportResult(NamedTuple):
-    """Give a page of the report; ``next_after`` is empty on the last page.
+    """Page of the report; ``next_after`` is empty on the last page.
 
-    ``closed_at`` is 0 for the open period. ``digest`` is the closing's, else empty.
+    For the open period, ``closed_at`` is 0 and ``digest`` is empty.
     """
 
     period: str
@@ -134,13 +135,13 @@
 
 
 class SpendQuery(NamedTuple):
-    """Ask for the spend by day of one workspace, or of all where it is empty."""
+    """Query for the daily spend of one workspace, or of all if ``workspace`` is empty."""
 
     workspace: str
 
 
 class DaySpend(NamedTuple):
-    """Give a workspace's charges on one day; ``day`` counts days (UTC) since the epoch."""
+    """Charges of a workspace on one day; ``day`` is the number of days (UTC) since the epoch."""
 
     workspace: str
     unit: str
@@ -150,6 +151,6 @@
 
 
 class SpendResult(NamedTuple):
-    """List the spend by day and workspace, by the time of the reservation."""
+    """Spend by workspace and day of the reservation."""
 
     days: tuple[DaySpend, ...]
--- a/cranberrywall/budgets/_messages_exceptions.py
+++ b/cranberrywall/budgets/_messages_exceptions.py
@@ -1,4 +1,4 @@
-"""Define the messages about duplicates, late charges and amounts in doubt."""
+"""Messages about duplicates, late charges and amounts in doubt."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,16 +7,17 @@
 
 
 class ExceptionKind(StrEnum):
-    """Name what is odd about an entry in the list of exceptions.
-
-    ``duplicate``: a second charge of a request id, not billed. ``late_period``: billed
-    after the period of its reservation was closed, and booked to the open one.
-    ``forgotten_id``: so late that the ledger cannot tell whether its id was billed; set
-    aside. ``unfunded``: it came after its holder's remainder came back and was spent
-    elsewhere; billing it would overspend; set aside. ``number_reused``: its holder gave
-    its number to another request before; set aside. ``dead_holder``: an older
-    incarnation's allotment that waits for evidence. ``silent_holder``: an amount held by
-    an incarnation that has not been heard for long.
+    """Kind of an exception.
+
+    ``duplicate``: a second charge of a request id, which is not billed. ``late_period``: a charge
+    that arrived after the period of its reservation was closed; it is billed in the open period.
+    ``forgotten_id``: the charge is so old that the ledger no longer has the ids of that time, and
+    cannot detect whether the request was billed; in doubt. ``unfunded``: the charge arrived after
+    its holder's remainder was freed and spent by others, and billing it would overspend; in doubt.
+    ``number_reused``: the holder used the charge's number for another request before; in doubt.
+    ``dead_holder``: an older incarnation's allotment that is not released, because evidence is
+    missing. ``silent_holder``: an amount held by an incarnation that has sent nothing for a long
+    time.
     """
 
     DUPLICATE = "duplicate"
@@ -29,10 +30,10 @@
 
 
 class ExceptionRow(NamedTuple):
-    """Name one duplicate, late charge or amount in doubt, with its reason and way out.
+    """A duplicate, late charge or amount in doubt, with its reason and remedy.
 
-    ``number`` is given to ``ResolveDoubt``; it is 0 where there is nothing to resolve.
-    ``held`` is the part of ``amount`` that is set aside in the budget's sums. ``state`` is
+    ``number`` identifies the exception in ``ResolveDoubt``; it is 0 if there is nothing to resolve.
+    ``held`` is the part of ``amount`` that is withheld in the budget's sums. ``state`` is
     ``recorded``, ``open``, ``billed`` or ``released``.
     """
 
@@ -51,12 +52,12 @@
 
 
 class ExceptionsQuery(NamedTuple):
-    """Ask for duplicates, late charges and amounts in doubt, oldest first.
+    """Query for duplicates, late charges and amounts in doubt, oldest first.
 
-    ``open_only`` leaves out what needs no decision. ``now`` (seconds since the epoch)
-    decides which holders count as silent. ``after`` is the last page's ``next_after``, 0
-    at first, and ``limit`` bounds the rows on a page. ``period`` names a closed period,
-    whose list is as it was at the closing; empty gives the present list.
+    ``open_only`` omits what needs no decision. ``now``, in seconds since the epoch, determines
+    which holders count as unresponsive. ``after`` is the ``next_after`` of the previous page, and 0
+    for the first page; ``limit`` bounds the rows on a page. ``period`` selects the list that was
+    stored when that period was closed; empty selects the current list.
     """
 
     budget: str
@@ -68,10 +69,10 @@
 
 
 class ExceptionsResult(NamedTuple):
-    """Give a page of exceptions; ``next_after`` is 0 on the last page.
+    """Page of exceptions; ``next_after`` is 0 on the last page.
 
-    ``unnamed`` counts the duplicates, and ``unnamed_late`` the late charges, beyond the
-    bound on those that are kept by name.
+    ``unnamed`` is the number of duplicates, and ``unnamed_late`` the number of late charges, that
+    were not listed because of the limit.
     """
 
     rows: tuple[ExceptionRow, ...]
@@ -81,9 +82,9 @@
 
 
 class ResolveDoubt(NamedTuple):
-    """Decide an amount in doubt: bill it, or let it come back.
+    """Command that decides an amount in doubt: bill it, or free what is withheld.
 
-    ``approver`` is another person than ``operator``.
+    ``approver`` is a different person than ``operator``.
     """
 
     number: int
--- a/cranberrywall/budgets/_messages_holders.py
+++ b/cranberrywall/budgets/_messages_holders.py
@@ -1,49 +1,54 @@
-"""Define the messages about holders: who may spend, and how it is known that one cannot."""
+"""Messages about holders: who may spend, and how a lost holder's remainder is freed."""
 
 from typing import NamedTuple
 
 
 class Holder(NamedTuple):
-    """Identify one run of one entry host; ``incarnation`` rises with each start."""
+    """An incarnation of an entry host; ``incarnation`` rises with each start."""
 
     host: str
     incarnation: int
 
 
-UNSEEN_AT_ONCE = 0.05
-"""Share of what a holder has that it may spend as soon as the ledger falls silent.
+MIN_UNREPORTED_SHARE = 0.05
+"""Share of its allotment that a holder may spend as soon as the ledger is unreachable.
 
-Without it, all requests of a cut's first moments would wait. Where all hosts are lost together,
-this much of their parts stays booked to them at least."""
+Without it, all requests of a partition's first moments would wait. If all hosts are lost together,
+at least this share of their allotments stays outstanding.
+"""
 
 FULL_UNREPORTED_DELAY_S = 8.0
-"""A holder that was silent for so long may have spent all that it has, in seconds.
+"""Time in seconds without contact after which a holder may have spent its full allotment.
 
-A cut of some seconds is served at an even rate by it: in cuts of 7 to 9 s workspaces used 25 to 35
-in 100 of their totals. A host whose machine was without power for a second gets back four fifths at
-once. A bound that rises at half that rate for three seconds, and faster then, serves no better."""
+With this value, requests are served at an even rate during a partition of some seconds: in
+partitions of 7 to 9 s, workspaces used 25 to 35 % of their totals. A host whose machine had no
+power for a second gets back four fifths immediately. A bound that rises at half this rate for the
+first three seconds, and faster after that, serves no better.
+"""
 
 
-def unreported_share(silent_s: float) -> float:
-    """Return the share of its part that a holder may have spent out of the ledger's sight.
+def unreported_share(gap_s: float) -> float:
+    """Return the share of its allotment that a holder may have spent unreported.
 
-    ``silent_s`` is how long ago it last said what it had spent so. Both sides go by this:
-    the holder spends no more, and the ledger frees no more of a holder that is lost.
+    ``gap_s`` is the time in seconds since the holder last reported its unreported spend. Both
+    sides use this function: the holder spends no more than this share, and the ledger frees no more
+    than the rest of it when the holder is lost.
 
     >>> unreported_share(0.0), unreported_share(2.0), unreported_share(60.0)
     (0.05, 0.3, 1.0)
     """
-    return min(1.0, UNSEEN_AT_ONCE + max(0.0, silent_s) / FULL_UNREPORTED_DELAY_S)
+    return min(1.0, MIN_UNREPORTED_SHARE + max(0.0, gap_s) / FULL_UNREPORTED_DELAY_S)
 
 
 class Contact(NamedTuple):
-    """Say when a holder reached the ledger, by the clocks of its machine, in seconds.
-
-    ``clock`` goes on while processes of the machine end and start, and begins anew where the
-    machine loses its power; ``wall`` is its time of day. ``is_detached`` says that it is not known
-    what is kept at peers and the ledger has not got; else that is ``unseen`` of each budget.
-    ``keepers`` are the peers at which it keeps any from now on, and the runs of them that are
-    up; where they are ``None``, it goes on with those that it named before.
+    """Clocks and state of a holder when it contacted the ledger, in seconds.
+
+    ``clock`` is the monotonic clock of the holder's machine. It continues while processes end and
+    start, and restarts if the machine loses power. ``wall`` is the machine's wall clock.
+    ``is_detached`` is true if it is unknown which charges and transfers are stored at peers and not
+    at the ledger; otherwise ``unseen`` is their amount of each budget. ``keepers`` are the peers,
+    with their running incarnations, that store the holder's data from now on; ``None`` means no
+    change.
     """
 
     clock: float
@@ -54,12 +59,12 @@
 
 
 class Evidence(NamedTuple):
-    """Show what older incarnations of a host without a disk may have spent unseen.
+    """Evidence on what older incarnations of a host without a disk may have spent unreported.
 
-    ``started_clock`` is the machine's steady clock at the start of the successor. Where
-    ``has_asked``, the keepers were asked that the ledger names, and nothing was spent that
-    nobody keeps: ``empty`` are runs of peers that hold nothing any more, and ``empty_on_disk``
-    hosts whose disks hold nothing, whichever of their runs kept it.
+    ``started_clock`` is the machine's monotonic clock at the start of the successor. ``has_asked``
+    is true if all peers were asked that the ledger named as replica holders, and if nothing was
+    spent without a replica. ``empty`` are incarnations of peers that store nothing any more.
+    ``empty_on_disk`` are hosts whose disks store nothing, whichever of their incarnations wrote it.
     """
 
     started_clock: float
@@ -69,7 +74,7 @@
 
 
 class HeldAmount(NamedTuple):
-    """Describe one holder's allotment; ``active_at`` is its last draw, return or charge."""
+    """Allotment of one holder; ``active_at`` is the time of its last draw, return or charge."""
 
     holder: Holder
     outstanding: int
@@ -77,14 +82,14 @@
 
 
 class RegisterHolder(NamedTuple):
-    """Announce a holder; each older incarnation of the host can no longer spend.
-
-    The successor holds the host's bound addresses, so the older process has ended. It
-    may neither draw nor take a transfer any more, but its late charges are still billed.
-    ``delivered`` says that every charge and transfer that the older incarnations left (in
-    the host's journal, or at its mirrors) has been sent: only then does their remainder
-    come back. Send it again with ``delivered`` set once that is so. A host without a disk
-    cannot know by itself, so the ledger weighs its ``evidence`` for each older incarnation.
+    """Command that registers a holder; older incarnations of the host can no longer spend.
+
+    The successor has bound the host's addresses, so the older process has ended. The older
+    incarnation may neither draw nor receive a transfer, but its late charges are still billed.
+    ``delivered`` is true once every charge and transfer that the older incarnations left in the
+    host's journal or at its replica holders has been sent. Only then is their remainder freed, so
+    the command is sent again at that time. A host without a disk cannot know this by itself; the
+    ledger then checks the ``evidence`` for each older incarnation.
     """
 
     holder: Holder
@@ -95,9 +100,9 @@
 
 
 class RegisterResult(NamedTuple):
-    """Give the sum that came back, and what older incarnations still hold in this group.
+    """Amount that was freed, and what older incarnations still hold in this group.
 
-    ``keepers`` are the hosts that may keep charges and transfers of those incarnations.
+    ``keepers`` are the hosts that may store charges and transfers of those incarnations.
     """
 
     released: int
@@ -106,9 +111,9 @@
 
 
 class ConfirmDead(NamedTuple):
-    """Confirm that a host's incarnation can no longer spend; its remainder comes back.
+    """Command that confirms that an incarnation can no longer spend; frees its remainder.
 
-    ``approver`` is another person than ``operator``.
+    ``approver`` is a different person than ``operator``.
     """
 
     holder: Holder
@@ -118,20 +123,20 @@
 
 
 class ConfirmDeadResult(NamedTuple):
-    """Give the sum that came back, over the budgets of this group."""
+    """Amount that was freed over the budgets of this group."""
 
     released: int
 
 
 class HoldersQuery(NamedTuple):
-    """Ask for each holder's sums over the group's budgets."""
+    """Query for each holder's sums over the group's budgets."""
 
 
 class HolderSum(NamedTuple):
-    """Give what one incarnation has outstanding over all budgets of the group.
+    """Amount that one incarnation has outstanding over all budgets of the group.
 
-    ``current`` is false for an incarnation that was succeeded. ``active_at`` is the last
-    time that it was heard.
+    ``current`` is false for an incarnation that was superseded or confirmed dead. ``active_at`` is
+    the time of its last activity, in seconds since the epoch.
     """
 
     holder: Holder
@@ -142,6 +147,6 @@
 
 
 class HoldersResult(NamedTuple):
-    """List the holders."""
+    """List of the holders."""
 
     holders: tuple[HolderSum, ...]
--- a/cranberrywall/budgets/_messages_intents.py
+++ b/cranberrywall/budgets/_messages_intents.py
@@ -1,4 +1,4 @@
-"""Define the messages about requests that may not be repeated."""
+"""Messages about requests that must not be repeated."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -6,14 +6,14 @@
 from cranberrywall.budgets._messages_holders import Holder
 
 MAX_ANSWER_BYTES = 65_536
-"""The largest stored answer of a request that may not be repeated, in bytes."""
+"""Maximum size in bytes of the stored answer to a request that must not be repeated."""
 
 
 class IntentState(StrEnum):
-    """Say what is known of a request that may not be repeated.
+    """State of a request that must not be repeated.
 
-    ``started`` is given to the one attempt that may send; ``none`` to a query for an id
-    that was never recorded.
+    ``started`` is returned only to the one attempt that may send the request. ``none`` is the
+    answer to a query for an id that was never recorded.
     """
 
     NONE = "none"
@@ -25,10 +25,10 @@
 
 
 class RecordIntent(NamedTuple):
-    """Record that ``attempt_id`` is about to send a request; the first one wins.
+    """Command that records that ``attempt_id`` is about to send a request; the first one wins.
 
-    ``budget`` only chooses the group. The winner's own resend gets ``STARTED`` again.
-    After an outcome of ``NOT_RUN`` a new attempt may win.
+    ``budget`` only selects the group. If the winner sends the command again, it gets ``STARTED``
+    again. After the outcome ``NOT_RUN`` a new attempt may win.
     """
 
     budget: str
@@ -40,11 +40,11 @@
 
 
 class RecordOutcome(NamedTuple):
-    """Record what became of the winning attempt.
+    """Command that records the outcome of the winning attempt.
 
-    ``state`` is ``DONE``, ``UNKNOWN`` or ``NOT_RUN``. ``answer`` is kept for later
-    arrivals of the id; it is at most ``MAX_ANSWER_BYTES``. ``UNKNOWN`` may later become
-    ``DONE`` or ``NOT_RUN``; the other two are final for the attempt.
+    ``state`` is ``DONE``, ``UNKNOWN`` or ``NOT_RUN``. ``answer``, of at most ``MAX_ANSWER_BYTES``,
+    is stored for later arrivals of the id. ``UNKNOWN`` may later become ``DONE`` or ``NOT_RUN``;
+    these two are final for the attempt.
     """
 
     budget: str
@@ -57,7 +57,7 @@
 
 
 class IntentQuery(NamedTuple):
-    """Ask what is known of a request id."""
+    """Query for the recorded state of a request id."""
 
     budget: str
     workspace: str
@@ -65,7 +65,7 @@
 
 
 class IntentResult(NamedTuple):
-    """Say what is known of a request id; ``holder`` and ``attempt_id`` are the winner's."""
+    """Recorded state of a request id; ``holder`` and ``attempt_id`` are the winner's."""
 
     state: IntentState
     attempt_id: str
--- a/cranberrywall/budgets/_messages_money.py
+++ b/cranberrywall/budgets/_messages_money.py
@@ -1,4 +1,4 @@
-"""Define the messages that move money, and the queries of one budget."""
+"""Messages that move amounts, and the queries of one budget."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -6,11 +6,11 @@
 from cranberrywall.budgets._messages_holders import Contact, HeldAmount, Holder
 
 MAX_CHARGES_IN_BATCH = 1_000
-"""The most charges that one ``ChargeBatch`` may carry."""
+"""Maximum number of charges in one ``ChargeBatch``."""
 
 
 class Credit(NamedTuple):
-    """Add ``amount`` to a budget, once per ``change_id``; a new budget is made by it."""
+    """Command that adds ``amount`` to a budget, once per ``change_id``; creates a new budget."""
 
     budget: str
     workspace: str
@@ -22,7 +22,7 @@
 
 
 class BudgetTotal(NamedTuple):
-    """Name what a budget of a workspace should have been credited in all."""
+    """Total that a budget of a workspace is to be credited with."""
 
     budget: str
     workspace: str
@@ -31,10 +31,10 @@
 
 
 class RaiseCredits(NamedTuple):
-    """Credit each budget with what it lacks of its total; a new budget is made by it.
+    """Command that credits each budget up to its total; creates a new budget.
 
-    It is idempotent by the totals: sent again, or late, it finds nothing missing. A total
-    below what was credited takes nothing back.
+    The totals make it idempotent: if it is sent again, or arrives late, nothing is missing any
+    more. A total below the credited amount takes nothing back.
     """
 
     totals: tuple[BudgetTotal, ...]
@@ -43,11 +43,11 @@
 
 
 class Draw(NamedTuple):
-    """Move up to ``amount`` (at least ``minimum``) from what is free to a holder.
+    """Command that moves up to ``amount``, at least ``minimum``, from the free amount to a holder.
 
-    ``number`` starts at 1 and rises with each draw of this holder and budget. A holder
-    has one draw on its way for a budget and sends it again until it is answered: the
-    last number gets its first answer, a lower one is rejected as ``CONFLICT``.
+    ``number`` starts at 1 and rises with each draw of this holder and budget. A holder has at most
+    one draw in flight for a budget and sends it again until it is answered. The last number gets
+    its first answer again; a lower one is rejected as ``CONFLICT``.
     """
 
     budget: str
@@ -60,11 +60,10 @@
 
 
 class DrawResult(NamedTuple):
-    """Give what was granted, with the ledger's sums after it.
+    """Granted amount, with the ledger's sums after the draw.
 
-    ``granted`` is 0 where less than ``minimum`` was free. ``outstanding`` is held by all
-    holders, this one's grant included. ``holders`` counts those with an amount
-    outstanding.
+    ``granted`` is 0 if less than ``minimum`` was free. ``outstanding`` is held by all holders, and
+    includes this grant. ``holders`` is the number of holders with an amount outstanding.
     """
 
     granted: int
@@ -76,10 +75,10 @@
 
 
 class Return(NamedTuple):
-    """Give ``amount`` of a holder's allotment back, once per ``number``.
+    """Command that frees ``amount`` of a holder's allotment, once per ``number``.
 
-    ``number`` starts at 1 and rises with each return of this holder and budget, one on
-    its way at a time.
+    ``number`` starts at 1 and rises with each return of this holder and budget; one is in flight at
+    a time.
     """
 
     budget: str
@@ -90,16 +89,15 @@
 
 
 class Charge(NamedTuple):
-    """Charge one request's cost against a holder's allotment.
+    """Charge of one request's cost against a holder's allotment.
 
-    ``number`` starts at 1 and rises by one with each charge of this holder and budget;
-    charges may arrive out of order and may be sent by another host that keeps a copy.
-    ``reserved_at`` decides the period. The ledger bills each ``request_id`` of a
-    workspace once; a second one is recorded as a duplicate and its amount goes back to
-    the holder that charged it.
+    ``number`` starts at 1 and rises by one with each charge of this holder and budget. Charges may
+    arrive out of order, and may be sent by another host that stores a replica. ``reserved_at``
+    determines the period. The ledger bills each ``request_id`` of a workspace once. A second charge
+    is recorded as a duplicate, and its amount goes back to the holder that charged it.
 
-    An ``is_open`` charge is made before its request is sent to a target, with the most that
-    the request can cost. A ``Correction`` gives back what it did not.
+    An ``is_open`` charge is made before its request is sent to a target, with the maximum cost of
+    the request. A ``Correction`` gives back the part that the request did not cost.
     """
 
     budget: str
@@ -112,10 +110,10 @@
 
 
 class ChargeBatch(NamedTuple):
-    """Charge several requests of one holder in one command.
+    """Command with several charges of one holder.
 
-    ``contact`` says when and how the holder reached the ledger; ``None`` where another host
-    sends the charges in its stead.
+    ``contact`` has the holder's clocks and state; it is ``None`` if another host sends the charges
+    on behalf of the holder.
     """
 
     holder: Holder
@@ -125,7 +123,7 @@
 
 
 class Correction(NamedTuple):
-    """Say what the request of an open charge cost in the end, at most the charge."""
+    """Final cost of the request of an open charge; at most the charged amount."""
 
     budget: str
     number: int
@@ -133,7 +131,7 @@
 
 
 class Corrections(NamedTuple):
-    """Correct open charges of one holder, each once; a second correction changes nothing."""
+    """Command with corrections of open charges of one holder; each is applied once."""
 
     holder: Holder
     corrections: tuple[Correction, ...]
@@ -142,13 +140,13 @@
 
 
 class ChargeOutcome(StrEnum):
-    """Say what became of one charge.
+    """Outcome of one charge.
 
     ``billed``: now or at its first arrival; the amount has left the holder's allotment.
-    ``duplicate``: another charge of the request id was billed; the amount stays in the
-    holder's allotment, to be spent again. ``in_doubt``: set aside for an operator; the
-    amount has left the allotment. ``refused``: never to be billed (no such budget, or an
-    impossible amount); resending does not help.
+    ``duplicate``: another charge of the request id was billed; the amount stays in the holder's
+    allotment and can be spent again. ``in_doubt``: withheld until an operator decides; the amount
+    has left the allotment. ``refused``: never billed, because the budget does not exist or the
+    amount is invalid; resending does not help.
     """
 
     BILLED = "billed"
@@ -158,20 +156,21 @@
 
 
 class ChargeBatchResult(NamedTuple):
-    """List the outcomes in the order of the batch's charges."""
+    """Outcomes in the order of the batch's charges."""
 
     outcomes: tuple[ChargeOutcome, ...]
 
 
 class Transfer(NamedTuple):
-    """Move ``amount`` from one holder's allotment to another's, reported by either.
-
-    The giver deducts and syncs first, under its ``giver_number`` (from 1, rising by one
-    for each budget). The taker adds the amount under its own ``taker_number`` and reports
-    before it charges against it; the giver reports with ``taker_number`` 0. Once either
-    number is known, a second report changes nothing. A report that comes before the one
-    of the transfer that funded it is refused as ``NOT_READY``: send it again later.
-    ``asked_clock`` is the taker's steady clock as it asked, in seconds.
+    """Report, by either side, that ``amount`` was moved from the donor to the recipient.
+
+    The donor (``giver``) deducts the amount and syncs it to storage first, under its
+    ``giver_number``, which starts at 1 and rises by one for each budget. The recipient (``taker``)
+    adds the amount under its own ``taker_number``, and reports the transfer before it charges
+    against the amount. The donor reports with ``taker_number`` 0. Once either number is recorded, a
+    second report changes nothing. A report that arrives before that of the transfer that funded it
+    is rejected as ``NOT_READY``, and must be sent again later. ``asked_clock`` is the recipient's
+    monotonic clock at its request for the transfer, in seconds.
     """
 
     budget: str
@@ -185,10 +184,10 @@
 
 
 class TransferResult(NamedTuple):
-    """Give the part of the amount that the ledger could move.
+    """Part of the amount that the ledger moved.
 
-    It is less than the amount only where the giver's remainder had come back before, and
-    the money is no longer free; the taker must drop the difference.
+    It is less than the amount only if the donor's remainder was freed before and is no longer free.
+    The recipient must then drop the difference.
     """
 
     moved: int
@@ -198,16 +197,17 @@
 
 
 class TransferBatch(NamedTuple):
-    """Report transfers together, in any order: one may fund another.
+    """Command with several reports of transfers, in any order: one may fund another.
 
-    After a cut hosts have tens to report, and serve from the ledger only when they are through.
+    After a network partition, hosts have tens of transfers to report, and resume drawing from the
+    ledger only when all are reported.
     """
 
     transfers: tuple[Transfer, ...]
 
 
 class TransferOutcome(NamedTuple):
-    """Say what became of one transfer: what was ``moved``, or the kind of a refusal."""
+    """Outcome of one transfer: the amount ``moved``, or the kind of a rejection."""
 
     moved: int
     kind: str = ""
@@ -215,16 +215,16 @@
 
 
 class TransferBatchResult(NamedTuple):
-    """Give an outcome for each transfer of a batch."""
+    """Outcomes in the order of the batch's transfers."""
 
     outcomes: tuple[TransferOutcome, ...]
 
 
 class Recall(NamedTuple):
-    """Ask holders other than ``asker`` to return what they do not need, ``amount`` in all.
+    """Command that asks holders other than ``asker`` to return ``amount`` in total.
 
-    Idle holders are asked first. It changes no sums: holders learn of it by
-    ``RecallsQuery`` or from ``asker``, and answer by ``Return``.
+    Idle holders are asked first. The command changes no sums. Holders receive the recall through
+    ``RecallsQuery`` or from ``asker``, and answer with ``Return``.
     """
 
     budget: str
@@ -234,38 +234,38 @@
 
 
 class RecallResult(NamedTuple):
-    """List the holders that were asked, each with the amount asked of it."""
+    """Holders that were asked, each with the amount requested from it."""
 
     asked: tuple[HeldAmount, ...]
 
 
 class RecallsQuery(NamedTuple):
-    """Ask which of a holder's allotments were recalled."""
+    """Query for the amounts that a holder was asked to return."""
 
     holder: Holder
 
 
 class RecalledAmount(NamedTuple):
-    """Name an amount that a holder was asked to return."""
+    """Amount that a holder was asked to return."""
 
     budget: str
     amount: int
 
 
 class RecallsResult(NamedTuple):
-    """List what a holder was asked to return."""
+    """Amounts that a holder was asked to return."""
 
     recalled: tuple[RecalledAmount, ...]
 
 
 class BudgetQuery(NamedTuple):
-    """Ask for one budget's sums and holders."""
+    """Query for one budget's sums and holders."""
 
     budget: str
 
 
 class BudgetResult(NamedTuple):
-    """Give one budget's sums; ``credited = charged + outstanding + in_doubt + free``."""
+    """Sums of one budget; ``credited = charged + outstanding + in_doubt + free``."""
 
     budget: str
     unit: str
@@ -278,12 +278,12 @@
 
 
 class CreditsQuery(NamedTuple):
-    """Ask for the top-ups of a budget that the ledger still keeps by name."""
+    """Query for a budget's top-ups that the ledger still stores."""
 
     budget: str
 
 
 class CreditsResult(NamedTuple):
-    """List a budget's top-ups, oldest first."""
+    """Top-ups of a budget, oldest first."""
 
     credits: tuple[Credit, ...]
--- a/cranberrywall/budgets/messages.py
+++ b/cranberrywall/budgets/messages.py
@@ -1,11 +1,11 @@
-"""Define the commands, queries and results of a ledger group.
+"""Commands, queries and results of a ledger group.
 
-Amounts are whole tokens or answered requests, as the budget's unit says. Times are
-seconds since the Unix epoch, given by the proposer. Every command is idempotent: sent
-again, it gets the first answer. A command that is refused gives ``Rejected``.
+Amounts are whole tokens or answered requests, depending on the budget's unit. Times are in seconds
+since the Unix epoch and are set by the proposer. Every command is idempotent: if it is sent again,
+it gets the first answer. The answer to a rejected command is ``Rejected``.
 
-A ledger group keeps per budget what was credited and charged, what each holder has
-outstanding and what is in doubt; the rest is free, and never negative.
+For each budget, a ledger group stores what was credited and charged, what each holder has
+outstanding, and what is in doubt. The rest is free, and is never negative.
 """
 
 from typing import NamedTuple
@@ -158,11 +158,11 @@
 
 
 class Accepted(NamedTuple):
-    """Say that a command was applied, now or at its first arrival."""
+    """Result of a command that was applied, now or at its first arrival."""
 
 
 class Rejected(NamedTuple):
-    """Say that a command was refused and changed nothing; ``kind`` is an ``ErrorKind``."""
+    """Result of a command that was rejected and changed nothing; ``kind`` is an ``ErrorKind``."""
 
     kind: str
     message: str
--- a/tests/budgets/ledgers.py
+++ b/tests/budgets/ledgers.py
@@ -1,4 +1,4 @@
-"""Drive a ledger machine with typed messages."""
+"""Helper for the ledger's tests: drives a ledger state machine with typed messages."""
 
 from typing import Any
 
@@ -21,7 +21,7 @@
 
 
 class Ledger:
-    """Apply messages to one machine; every answer also survives a snapshot."""
+    """A ledger state machine with methods for the usual messages."""
 
     def __init__(self, limits: IdLimits | None = None) -> None:
         self._limits = limits
@@ -30,7 +30,7 @@
     def apply(self, message: Any) -> Any:
         return LEDGER_CODEC.decode(self.machine.apply(LEDGER_CODEC.encode(message)))
 
-    def make_request(self, message: Any) -> Any:
+    def query(self, message: Any) -> Any:
         return LEDGER_CODEC.decode(self.machine.query(LEDGER_CODEC.encode(message)))
 
     def restart(self) -> None:
@@ -58,7 +58,7 @@
         return outcome
 
     def sums(self, budget: str = "desk") -> BudgetResult:
-        result = self.make_request(BudgetQuery(budget))
+        result = self.query(BudgetQuery(budget))
         assert isinstance(result, BudgetResult), result
         parts = result.charged + result.outstanding + result.in_doubt + result.free
         assert result.credited == parts
--- a/tests/budgets/money_stories.py
+++ b/tests/budgets/money_stories.py
@@ -1,4 +1,4 @@
-"""Help the stories about money: small fleets, requests, and their checks."""
+"""Helpers for tests of allotments: a small fleet, its requests, and common steps."""
 
 import random
 from collections.abc import Awaitable, Callable, Collection
@@ -14,13 +14,13 @@
 
 PLACES = {"a1": "north", "a2": "north", "b1": "south", "b2": "south", "b3": "south"}
 SOUTH_PARTITIONED = {"b1": 1, "b2": 1, "b3": 1}
-Story = Callable[[MoneyFleet], Awaitable[None]]
+Scenario = Callable[[MoneyFleet], Awaitable[None]]
 
 
 def on_fleet(
-    scenario: Story, disks: Collection[str] = (), policy: SpendPolicy | None = None
+    scenario: Scenario, disks: Collection[str] = (), policy: SpendPolicy | None = None
 ) -> None:
-    """Tell a story on a fleet that has started, in virtual time."""
+    """Run a test scenario on a started fleet, in virtual time."""
 
     async def main() -> None:
         storages = {host: FakeStorage(random.Random(7)) for host in disks}
@@ -37,12 +37,12 @@
 def make_request(
     fleet: MoneyFleet, id_: str, bound: int, max_wait_s: float = 3.0
 ) -> ReserveRequest:
-    """Return a request of the budget ``main``."""
+    """Return a request against the budget ``main``."""
     return ReserveRequest("clerks", "main", id_, bound, fleet.clock.now() + max_wait_s)
 
 
 async def reserved(fleet: MoneyFleet, host: str, id_: str, bound: int) -> Reservation:
-    """Reserve, which must succeed."""
+    """Reserve, and assert that it succeeds; return the reservation."""
     allotments = fleet.host_by_name[host].allotments
     answer = await allotments.reserve(make_request(fleet, id_, bound), fleet.clock.now())
     assert isinstance(answer, Ok), answer
@@ -50,21 +50,21 @@
 
 
 async def refused(fleet: MoneyFleet, host: str, id_: str, bound: int) -> ErrorKind:
-    """Reserve, which must be refused; gives the kind."""
+    """Reserve, and assert that it is refused; return the kind of the refusal."""
     allotments = fleet.host_by_name[host].allotments
     answer = await allotments.reserve(make_request(fleet, id_, bound), fleet.clock.now())
-    assert isinstance(answer, Err), "it was served"
+    assert isinstance(answer, Err), "the reservation was granted"
     return answer.err_value.kind
 
 
 async def spend(fleet: MoneyFleet, host: str, id_: str, amount: int) -> Any:
-    """Reserve and settle; gives the result of settling."""
+    """Reserve and settle; return the result of settling."""
     reservation = await reserved(fleet, host, id_, amount)
     return await reservation.settle(amount, fleet.clock.now())
 
 
 async def spend_all(fleet: MoneyFleet, host: str, name: str, amount: int) -> int:
-    """Spend in steps of ``amount`` until refused; gives the sum spent."""
+    """Spend in steps of ``amount`` until a reservation is refused; return the sum."""
     spent = 0
     while True:
         allotments = fleet.host_by_name[host].allotments
--- a/tests/budgets/test_closing.py
+++ b/tests/budgets/test_closing.py
@@ -1,4 +1,4 @@
-"""Close periods while charges are on their way, and report sums that add up."""
+"""Closing periods while charges are in flight, and reports whose sums add up."""
 
 from typing import Any
 
@@ -27,7 +27,7 @@
 
 DAY = 86_400.0
 NOVEMBER_END = 1_796_083_200.0
-"""The first of December 2026 in UTC."""
+"""Start of 1 December 2026 in UTC, in seconds."""
 
 IN_NOVEMBER = NOVEMBER_END - 3 * DAY
 DECEMBER_END = NOVEMBER_END + 31 * DAY
@@ -38,7 +38,7 @@
 
 
 def report(ledger: Ledger, period: str = "", workspace: str = "", limit: int = 10) -> ReportResult:
-    result = ledger.make_request(ReportQuery(period, workspace, "", limit))
+    result = ledger.query(ReportQuery(period, workspace, "", limit))
     assert isinstance(result, ReportResult), result
     for row in result.rows:
         spent = row.charged_before + row.charged + row.charged_after
@@ -84,7 +84,7 @@
 
 
 def test_a_top_up_belongs_to_the_period_of_its_time():
-    """The council pays for December on its second day, and November is closed after it."""
+    """A top-up is dated on 2 December, and November is closed only after it."""
     ledger = spent_in_november()
     ledger.credit(50, "c2", at=NOVEMBER_END + DAY)
     close(ledger, "2026-11", NOVEMBER_END)
@@ -94,10 +94,11 @@
 
 
 def test_a_charge_that_comes_after_the_closing_is_billed_in_the_open_period():
-    """A host is cut off over the month's end, with a request reserved on its last day.
+    """A charge arrives after the period of its reservation was closed.
 
-    The operator closes the month, then the charge arrives. The closed report stays what
-    the council got; the charge is billed once, later, and named with its reason.
+    A host is partitioned over the end of the month, with a request that was reserved on the last
+    day, and the operator closes the month. The closed report must not change. The charge is billed
+    once, in the open period, and is listed with its reason.
     """
     ledger = spent_in_november()
     before = close(ledger, "2026-11", NOVEMBER_END)
@@ -108,7 +109,7 @@
     assert report(ledger, "2026-11") == closed
     assert close(ledger, "2026-11", NOVEMBER_END) == before
     assert report(ledger).rows[0].charged == 7
-    rows = ledger.make_request(ExceptionsQuery("", False, NOVEMBER_END, 0, 10)).rows
+    rows = ledger.query(ExceptionsQuery("", False, NOVEMBER_END, 0, 10)).rows
     late = [(row.kind, row.request_id) for row in rows if row.number]
     assert late == [(ExceptionKind.LATE_PERIOD, "r2")]
 
@@ -147,7 +148,7 @@
 
 
 def test_planned_ends_decide_where_a_charge_goes():
-    """The association closes at midnight in Ljubljana, an hour before the month in UTC."""
+    """A period ends at midnight in Ljubljana, an hour before the calendar month in UTC."""
     ledger = spent_in_november()
     end = NOVEMBER_END - 3_600.0
     plan = PlanPeriods((PlannedPeriod("november", end), PlannedPeriod("dec", DECEMBER_END)), "a", 0)
@@ -155,7 +156,7 @@
         assert ledger.apply(plan) == Accepted()
         ledger.restart()
     ledger.charge(A1, "r2", 2, 5, end + 60)
-    open_periods = ledger.make_request(PeriodsQuery(end + DAY)).open_periods
+    open_periods = ledger.query(PeriodsQuery(end + DAY)).open_periods
     assert [one.period for one in open_periods] == ["november", "dec"]
     assert isinstance(close(ledger, "november", end), ClosePeriodResult)
     assert report(ledger, "november").rows[0].charged == 10
@@ -172,9 +173,10 @@
 
 
 def test_a_plan_that_is_taken_back_must_not_split_charges_by_the_months():
-    """A period was planned over a month's end, and has charges on both sides of it.
+    """A planned period extends over the end of a month and has charges on both sides of it.
 
-    Without the plan the month's end would lie between them, and one sum holds both.
+    Without the plan, the end of the month would lie between these charges, but only one sum is
+    stored for both.
     """
     ledger = Ledger()
     ledger.credit(100, at=IN_NOVEMBER)
@@ -194,10 +196,10 @@
     ledger.charge(B1, "r1", 1, 10, IN_NOVEMBER)
     assert ledger.charge(B1, "big", 2, 500, IN_NOVEMBER) is ChargeOutcome.IN_DOUBT
     close(ledger, "2026-11", NOVEMBER_END)
-    closed = ledger.make_request(ExceptionsQuery("", False, 0.0, 0, 10, "2026-11")).rows
+    closed = ledger.query(ExceptionsQuery("", False, 0.0, 0, 10, "2026-11")).rows
     kinds = [row.kind for row in closed if row.number]
     assert kinds == [ExceptionKind.DUPLICATE, ExceptionKind.UNFUNDED]
-    now_open = ledger.make_request(ExceptionsQuery("", False, 0.0, 0, 10)).rows
+    now_open = ledger.query(ExceptionsQuery("", False, 0.0, 0, 10)).rows
     assert [row.kind for row in now_open if row.number] == [ExceptionKind.UNFUNDED]
     assert report(ledger, "2026-11").rows[0].in_doubt == 50
 
@@ -209,7 +211,7 @@
     close(ledger, "2026-11", NOVEMBER_END)
     ledger.restart()
     assert ledger.charge(B1, "r1", 1, 10, IN_NOVEMBER) is ChargeOutcome.DUPLICATE
-    rows = ledger.make_request(ExceptionsQuery("", False, 0.0, 0, 10)).rows
+    rows = ledger.query(ExceptionsQuery("", False, 0.0, 0, 10)).rows
     assert [row for row in rows if row.number] == []
 
 
@@ -220,39 +222,39 @@
     for period in ("", "2026-11"):
         names, after = [], ""
         while True:
-            page = ledger.make_request(ReportQuery(period, "clerks", after, 10))
+            page = ledger.query(ReportQuery(period, "clerks", after, 10))
             names += [row.budget for row in page.rows]
             after = page.next_after
             if not after:
                 break
         assert names == [f"b{number:02}" for number in range(25)]
-        assert ledger.make_request(ReportQuery(period, "nobody", "", 10)).rows == ()
+        assert ledger.query(ReportQuery(period, "nobody", "", 10)).rows == ()
         close(ledger, "2026-11", NOVEMBER_END)
 
 
 def test_no_exception_is_left_out_between_pages():
-    """A host that held a part of every budget dies, and an operator lists the doubts."""
+    """A host that held a part of every budget dies, and an operator lists the amounts in doubt."""
     ledger = Ledger()
     for number in range(25):
         budget = f"b{number:02}"
         ledger.credit(10, f"c{number}", budget=budget, at=IN_NOVEMBER)
         ledger.apply(Draw(budget, A1, 1, 5, 1, IN_NOVEMBER))
     ledger.apply(RegisterHolder(A1._replace(incarnation=2), False, IN_NOVEMBER))
-    named: list[str] = []
+    listed: list[str] = []
     after = 0
     while True:
-        page = ledger.make_request(ExceptionsQuery("", True, IN_NOVEMBER, after, 10))
+        page = ledger.query(ExceptionsQuery("", True, IN_NOVEMBER, after, 10))
         assert len(page.rows) <= 10
-        named += [row.budget for row in page.rows]
+        listed += [row.budget for row in page.rows]
         after = page.next_after
         if not after:
             break
-    assert named == [f"b{number:02}" for number in range(25)]
+    assert listed == [f"b{number:02}" for number in range(25)]
 
 
 def test_duplicates_and_late_charges_are_named_up_to_a_bound_and_counted_beyond(monkeypatch):
-    """A cut over a month's end ends, and very many late charges arrive, some of them twice."""
-    monkeypatch.setattr(_ledger_exceptions, "MAX_NAMED", 2)
+    """After a partition over the end of a month, many late charges arrive, some of them twice."""
+    monkeypatch.setattr(_ledger_exceptions, "MAX_LISTED", 2)
     ledger = spent_in_november()
     ledger.draw(B1, 1, 50)
     close(ledger, "2026-11", NOVEMBER_END)
@@ -260,7 +262,7 @@
         ledger.charge(A1, f"r{number}", number, 1, IN_NOVEMBER)
         ledger.charge(B1, f"r{number}", number, 1, IN_NOVEMBER)
     ledger.restart()
-    result = ledger.make_request(ExceptionsQuery("", False, 0.0, 0, 100))
+    result = ledger.query(ExceptionsQuery("", False, 0.0, 0, 100))
     assert len([row for row in result.rows if row.number]) == 4
     assert (result.unnamed, result.unnamed_late) == (3, 3)
     assert report(ledger).rows[0].charged == 5
@@ -281,6 +283,6 @@
     ledger = spent_in_november()
     ledger.charge(A1, "r2", 2, 5, IN_NOVEMBER + 1)
     ledger.charge(A1, "r3", 3, 7, IN_NOVEMBER + DAY)
-    days = ledger.make_request(SpendQuery("clerks")).days
+    days = ledger.query(SpendQuery("clerks")).days
     assert [(day.amount, day.requests) for day in days] == [(15, 2), (7, 1)]
-    assert ledger.make_request(SpendQuery("others")).days == ()
+    assert ledger.query(SpendQuery("others")).days == ()
--- a/tests/budgets/test_closing_differs.py
+++ b/tests/budgets/test_closing_differs.py
@@ -1,4 +1,4 @@
-"""Compare closings with sums over all charges and top-ups that ever came."""
+"""Compares closings with sums over all charges and top-ups that were accepted."""
 
 from typing import Any, NamedTuple
 
@@ -20,7 +20,7 @@
 
 DAY = 86_400.0
 START = 1_793_491_200.0
-"""The first of November 2026 in UTC."""
+"""Start of 1 November 2026 in UTC, in seconds."""
 
 LATEST = START + 2_000 * DAY
 DAYS = st.integers(0, 100)
@@ -36,14 +36,14 @@
 
 
 class Amount(NamedTuple):
-    """Hold one charge or top-up that came; ``at`` decides its period."""
+    """A charge or top-up that was accepted; ``at`` determines its period."""
 
     at: float
     amount: int
 
 
-class Books:
-    """Hold the ledger, and every amount that is in no closed period yet."""
+class ClosingModel:
+    """The ledger, and a model of all amounts that are in no closed period yet."""
 
     def __init__(self) -> None:
         self.ledger = Ledger()
@@ -55,7 +55,7 @@
         self.count = 0
 
     def row(self, period: str) -> ReportRow:
-        (row,) = self.ledger.make_request(ReportQuery(period, "", "", 10)).rows
+        (row,) = self.ledger.query(ReportQuery(period, "", "", 10)).rows
         spent = row.charged_before + row.charged + row.charged_after
         assert row.credited == spent + row.outstanding + row.in_doubt + row.free
         assert isinstance(row, ReportRow)
@@ -71,7 +71,7 @@
     def credit(self, day: int, amount: int) -> None:
         self.count += 1
         at = START + day * DAY + 1.0
-        # A top-up from before the closing before the last is refused.
+        # A top-up from before the closing before the last one is rejected.
         if self.ledger.credit(amount, f"c{self.count}", at=at) == Accepted():
             self.credits.append(Amount(at, amount))
 
@@ -80,7 +80,7 @@
 
     def close_first(self) -> None:
         """Close the first open period, which must always be possible after its end."""
-        first = self.ledger.make_request(PeriodsQuery(START)).open_periods[0]
+        first = self.ledger.query(PeriodsQuery(START)).open_periods[0]
         self._close(first.through, must=True)
 
     def _close(self, through: float, must: bool) -> None:
@@ -114,12 +114,14 @@
 def test_each_amount_is_in_one_period_whatever_is_planned_and_closed(
     steps: list[tuple[Any, ...]],
 ) -> None:
-    books = Books()
+    model = ClosingModel()
     for kind, *values in steps:
-        getattr(books, kind)(*values)
-        row = books.row("")
-        assert row.charged == sum(one.amount for one in books.charges)
-        assert row.credits == sum(one.amount for one in books.credits)
-    kept = books.ledger.make_request(PeriodsQuery(START)).periods
-    assert {one.period for one in kept} == set(list(books.closed)[-len(kept) :] if kept else [])
-    assert all(books.row(one.period) == books.closed[one.period] for one in kept)
+        getattr(model, kind)(*values)
+        row = model.row("")
+        assert row.charged == sum(one.amount for one in model.charges)
+        assert row.credits == sum(one.amount for one in model.credits)
+    stored = model.ledger.query(PeriodsQuery(START)).periods
+    assert {one.period for one in stored} == set(
+        list(model.closed)[-len(stored) :] if stored else []
+    )
+    assert all(model.row(one.period) == model.closed[one.period] for one in stored)
--- a/tests/budgets/test_intents.py
+++ b/tests/budgets/test_intents.py
@@ -1,4 +1,4 @@
-"""Let a request that may not be repeated run once, whoever asks and whatever is lost."""
+"""A request that must not be repeated runs once, whichever messages are repeated, late or lost."""
 
 from typing import Any
 
@@ -26,19 +26,19 @@
     return ledger.apply(RecordOutcome("desk", "clerks", "q", attempt, state, answer, NOW))
 
 
-def known(ledger: Ledger, request: str = "q") -> IntentResult:
-    result: IntentResult = ledger.make_request(IntentQuery("desk", "clerks", request))
+def recorded_state(ledger: Ledger, request: str = "q") -> IntentResult:
+    result: IntentResult = ledger.query(IntentQuery("desk", "clerks", request))
     return result
 
 
-def test_the_first_attempt_wins_and_the_second_is_told_the_truth():
-    """A caller's renewal confirmation arrives at two hosts at once.
+def test_the_first_attempt_wins_and_the_second_gets_its_state():
+    """The same request arrives at two hosts at the same time.
 
-    One may send it to the service. The other is told that it is running, and later gets
-    the stored answer: two confirmations would mean a manual reversal.
+    Only one may send it to the service. The other is told that it is running, and later gets the
+    stored answer. If both sent it, the operation would run twice and need a manual reversal.
     """
     ledger = Ledger()
-    assert known(ledger).state is IntentState.NONE
+    assert recorded_state(ledger).state is IntentState.NONE
     assert start(ledger, A1, "a").state is IntentState.STARTED
     assert start(ledger, B1, "b").state is IntentState.RUNNING
     assert start(ledger, A1, "a").state is IntentState.STARTED
@@ -49,22 +49,22 @@
     assert start(ledger, A1, "a").state is IntentState.DONE
 
 
-def test_the_outcome_of_a_host_that_died_is_unknown_until_it_says_so():
-    """The host that sent the call dies, and starts again without knowing how it ended."""
+def test_the_outcome_of_a_host_that_died_is_unknown_until_it_is_reported():
+    """The host that sent the request dies, and restarts without a record of how it ended."""
     ledger = Ledger()
     start(ledger, A1, "a")
     ledger.apply(RegisterHolder(A2, False, NOW))
     ledger.restart()
     assert start(ledger, B1, "b").state is IntentState.UNKNOWN
     assert finish(ledger, "a", IntentState.DONE, b"late").state is IntentState.DONE
-    assert known(ledger).answer == b"late"
+    assert recorded_state(ledger).answer == b"late"
 
 
 def test_a_request_that_was_not_run_may_start_again_but_not_by_a_late_message():
-    """The first attempt never reached the service, and its host said so.
+    """The first attempt never reached the service, and its host reported that.
 
-    A second attempt may run. A late copy of the first attempt's message may not: its host
-    has told its caller that nothing ran.
+    A second attempt may run. A delayed copy of the first attempt's message must not start it again,
+    because its host has told the caller that nothing ran.
     """
     ledger = Ledger()
     start(ledger, A1, "a")
@@ -89,7 +89,7 @@
     ledger = Ledger()
     ledger.apply(RegisterHolder(A2, True, NOW))
     assert start(ledger, A1, "a").kind == ErrorKind.CONFLICT
-    assert known(ledger).state is IntentState.NONE
+    assert recorded_state(ledger).state is IntentState.NONE
 
 
 def test_outcomes_that_cannot_be_are_refused():
@@ -101,21 +101,21 @@
     assert finish(ledger, "a", IntentState.DONE, large).kind == ErrorKind.TOO_LARGE
 
 
-def test_intents_are_bounded_and_old_ones_are_forgotten_by_a_closing(monkeypatch):
+def test_intents_are_bounded_and_old_ones_are_removed_by_a_closing(monkeypatch):
     monkeypatch.setattr(_ledger_intents, "MAX_INTENTS", 2)
     ledger = Ledger()
     start(ledger, A1, "a", "q1")
     start(ledger, A1, "b", "q2")
     assert start(ledger, A1, "c", "q3").kind == ErrorKind.OVERLOADED
-    through = NOW + _ledger_intents.KEPT_S
+    through = NOW + _ledger_intents.RETENTION_S
     ledger.apply(ClosePeriod("short", through, "ann", through))
-    assert known(ledger, "q1").state is IntentState.RUNNING
+    assert recorded_state(ledger, "q1").state is IntentState.RUNNING
     ledger.apply(ClosePeriod("long", through + 1, "ann", through + 1))
     assert start(ledger, A1, "c", "q3").state is IntentState.STARTED
 
 
-def test_the_oldest_answers_are_dropped_and_what_is_known_stays(monkeypatch):
-    monkeypatch.setattr(_ledger_intents, "MAX_ANSWERS_BYTES", 100)
+def test_the_oldest_answers_are_dropped_and_their_states_stay(monkeypatch):
+    monkeypatch.setattr(_ledger_intents, "MAX_STORED_ANSWER_BYTES", 100)
     ledger = Ledger()
     for number in range(3):
         start(ledger, A1, "a", f"q{number}")
@@ -123,5 +123,8 @@
             "desk", "clerks", f"q{number}", "a", IntentState.DONE, b"x" * 45, NOW
         )
         ledger.apply(outcome)
-    assert (known(ledger, "q0").state, known(ledger, "q0").answer) == (IntentState.DONE, b"")
-    assert len(known(ledger, "q2").answer) == 45
+    assert (recorded_state(ledger, "q0").state, recorded_state(ledger, "q0").answer) == (
+        IntentState.DONE,
+        b"",
+    )
+    assert len(recorded_state(ledger, "q2").answer) == 45
--- a/tests/budgets/test_ledger.py
+++ b/tests/budgets/test_ledger.py
@@ -1,4 +1,4 @@
-"""Credit, draw, return and charge where nothing goes wrong, or a message comes twice."""
+"""Credits, draws, returns and charges without failures, or with repeated messages."""
 
 from cranberrywall.budgets.messages import (
     Accepted,
@@ -44,7 +44,7 @@
     assert ledger.draw(B1, 1, 1).granted == 0
 
 
-def test_a_draw_that_was_given_up_is_not_granted_when_it_arrives_late():
+def test_a_draw_that_was_abandoned_is_not_granted_when_it_arrives_late():
     ledger = Ledger()
     ledger.credit(10)
     assert ledger.draw(A1, 2, 4).granted == 4
@@ -58,7 +58,7 @@
     other = ledger.credit(11)
     assert isinstance(other, Rejected)
     assert (other.kind, other.field) == (ErrorKind.CONFLICT, "change_id")
-    assert [one.amount for one in ledger.make_request(CreditsQuery("desk")).credits] == [10]
+    assert [one.amount for one in ledger.query(CreditsQuery("desk")).credits] == [10]
 
 
 def test_a_top_up_that_cannot_be_names_the_field_and_the_remedy():
@@ -81,8 +81,8 @@
     assert [(one.holder, one.outstanding) for one in asked] == [(B1, 20), (C1, 5)]
     ledger.restart()
     ledger.apply(Return("desk", B1, 1, 20, later))
-    assert ledger.make_request(RecallsQuery(B1)).recalled == ()
-    assert [one.amount for one in ledger.make_request(RecallsQuery(C1)).recalled] == [5]
+    assert ledger.query(RecallsQuery(B1)).recalled == ()
+    assert [one.amount for one in ledger.query(RecallsQuery(C1)).recalled] == [5]
 
 
 def test_a_return_of_more_than_is_held_is_refused():
@@ -96,4 +96,4 @@
 def test_bytes_that_are_no_command_are_refused_and_change_nothing():
     ledger = Ledger()
     assert b"malformed" in ledger.machine.apply(b"\x93nonsense")
-    assert ledger.make_request(Return("desk", A1, 1, 6, NOW)).kind == ErrorKind.MALFORMED
+    assert ledger.query(Return("desk", A1, 1, 6, NOW)).kind == ErrorKind.MALFORMED
--- a/tests/budgets/test_ledger_differs.py
+++ b/tests/budgets/test_ledger_differs.py
@@ -1,4 +1,4 @@
-"""Drive the ledger and a naive one by the same messages, in any order and repeated."""
+"""Compares the ledger with a naive one that gets the same messages, reordered and repeated."""
 
 from collections import defaultdict
 from typing import Any
@@ -42,8 +42,8 @@
 )
 
 
-class Pair:
-    """Hold both ledgers, and number the messages as the holders would."""
+class LedgerPair:
+    """Both ledgers, with the messages sent so far, numbered as holders number them."""
 
     def __init__(self) -> None:
         self.real = Ledger()
@@ -91,14 +91,16 @@
     def make_confirm(self, holder: Holder) -> Any:
         return (ConfirmDead(holder, "ann", "bob", NOW),)
 
-    def make_transfer(self, giver: Holder, taker: Holder, amount: int, by_taker: bool) -> Any:
-        # Numbers of an incarnation that is gone are gone with it, so only holders that
-        # live on both sides can tell a repeated report; others are tested by hand.
-        if giver.host == taker.host or not self.naive.may_draw(taker):
+    def make_transfer(
+        self, donor: Holder, recipient: Holder, amount: int, by_recipient: bool
+    ) -> Any:
+        # The numbers of a released incarnation are removed with it, so a repeated report is
+        # recognised only while both sides are current. test_ledger_failures.py has the other cases.
+        if donor.host == recipient.host or not self.naive.may_draw(recipient):
             return None
-        taker_number = self.next("take", taker) if by_taker else 0
-        number = self.next("give", giver)
-        return (Transfer("desk", giver, number, taker, taker_number, amount, NOW),)
+        recipient_number = self.next("take", recipient) if by_recipient else 0
+        number = self.next("give", donor)
+        return (Transfer("desk", donor, number, recipient, recipient_number, amount, NOW),)
 
     def credit(self, change: str, amount: int) -> None:
         assert self.real.credit(amount, change) == Accepted()
@@ -153,6 +155,6 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.lists(STEPS, max_size=40))
 def test_the_ledger_answers_as_the_naive_one(steps: list[tuple[Any, ...]]) -> None:
-    pair = Pair()
+    pair = LedgerPair()
     for step in steps:
         pair.step(step)
--- a/tests/budgets/test_ledger_failures.py
+++ b/tests/budgets/test_ledger_failures.py
@@ -1,4 +1,4 @@
-"""Messages that are late, doubled, crossed or from the dead must not bill wrongly."""
+"""Late, repeated and reordered messages, and those of dead holders, must not bill wrongly."""
 
 import pytest
 
@@ -24,42 +24,40 @@
 from tests.budgets.ledgers import A1, A2, B1, C1, NOW, Ledger
 
 
-def funded(amount: int = 100, limits: IdLimits | None = None) -> Ledger:
+def make_funded_ledger(amount: int = 100, limits: IdLimits | None = None) -> Ledger:
     ledger = Ledger(limits)
     ledger.credit(amount)
     return ledger
 
 
-def named(ledger: Ledger, now: float = NOW) -> list[ExceptionRow]:
-    rows: tuple[ExceptionRow, ...] = ledger.make_request(
-        ExceptionsQuery("", False, now, 0, 100)
-    ).rows
+def listed_exceptions(ledger: Ledger, now: float = NOW) -> list[ExceptionRow]:
+    rows: tuple[ExceptionRow, ...] = ledger.query(ExceptionsQuery("", False, now, 0, 100)).rows
     assert all(row.reason and row.remedy for row in rows)
     return list(rows)
 
 
 def test_a_charge_resent_through_another_host_is_billed_once():
-    """Host A settles a request and loses the ledger's answer; its two mirrors keep a copy.
+    """Host A settles a request and loses the ledger's answer; two replica holders have a copy.
 
-    A dies, and both mirrors deliver the charge of A's incarnation. The caller sees one
-    answer, and must find one bill.
+    A dies, and both replica holders deliver the charge of A's incarnation. The request must be
+    billed once.
     """
-    ledger = funded()
+    ledger = make_funded_ledger()
     ledger.draw(A1, 1, 50)
     for _ in range(3):
         assert ledger.charge(A1, "r1", 1, 20) is ChargeOutcome.BILLED
         ledger.restart()
     assert ledger.sums().charged == 20
-    assert named(ledger) == []
+    assert listed_exceptions(ledger) == []
 
 
 def test_two_hosts_that_charge_one_id_bill_it_once():
-    """A caller's request runs at host A, and its retry at host B, which could not know.
+    """A request runs at host A, and its retry at host B, which cannot detect the first run.
 
-    Both settle. The second charge to arrive is recorded by name and not billed, and its
-    amount stays with the host that sent it, also when that charge is sent again.
+    Both settle. The second charge to arrive is listed as a duplicate and not billed. Its amount
+    stays with the host that sent it, also when that charge is sent again.
     """
-    ledger = funded()
+    ledger = make_funded_ledger()
     ledger.draw(A1, 1, 50)
     ledger.draw(B1, 1, 50)
     assert ledger.charge(A1, "r1", 1, 20) is ChargeOutcome.BILLED
@@ -67,36 +65,36 @@
         assert ledger.charge(B1, "r1", 1, 30) is ChargeOutcome.DUPLICATE
         ledger.restart()
     assert (ledger.sums().charged, ledger.sums().outstanding) == (20, 80)
-    (row,) = named(ledger)
+    (row,) = listed_exceptions(ledger)
     assert (row.kind, row.holder, row.amount) == (ExceptionKind.DUPLICATE, B1, 30)
 
 
 def test_late_charges_of_an_old_incarnation_are_billed_from_what_it_held():
-    """Host A dies with charges in its journal, and starts again.
+    """Host A dies with charges in its journal, and restarts.
 
-    Its new incarnation draws at once, before the old charges are delivered. The old
-    remainder must wait for them: freed too early, others would spend what A had spent.
+    Its new incarnation draws before the old charges are delivered. The old remainder must not be
+    freed until then, or other hosts would spend what A had already spent.
     """
-    ledger = funded()
+    ledger = make_funded_ledger()
     ledger.draw(A1, 1, 60)
     assert ledger.apply(RegisterHolder(A2, False, NOW)) == RegisterResult(0, 60)
     assert ledger.draw(A2, 1, 100).granted == 40
-    (row,) = named(ledger)
+    (row,) = listed_exceptions(ledger)
     assert (row.kind, row.amount) == (ExceptionKind.DEAD_HOLDER, 60)
     assert ledger.charge(A1, "r1", 1, 25) is ChargeOutcome.BILLED
     for _ in range(2):
         assert ledger.apply(RegisterHolder(A2, True, NOW)) == RegisterResult(35, 0)
         ledger.restart()
     assert (ledger.sums().charged, ledger.sums().free) == (25, 35)
-    assert named(ledger) == []
+    assert listed_exceptions(ledger) == []
 
 
 def test_an_old_incarnation_gets_nothing_new():
-    """A draw of host A is held up in the network while A dies and starts again.
+    """A draw of host A is delayed in the network while A dies and restarts.
 
-    It arrives late: granted, the amount would belong to a process that has ended.
+    If it were granted on its late arrival, the amount would belong to a process that has ended.
     """
-    ledger = funded()
+    ledger = make_funded_ledger()
     ledger.draw(A1, 1, 10)
     ledger.apply(RegisterHolder(A2, True, NOW))
     assert ledger.draw(A1, 2, 10).kind == ErrorKind.CONFLICT
@@ -106,13 +104,13 @@
 
 
 def test_a_charge_that_comes_after_its_money_was_freed_is_billed_only_while_money_is_free():
-    """Two persons confirm that host A is dead, and it was only cut off.
+    """Two people confirm that host A is dead, but it was only partitioned.
 
-    Its remainder is freed and partly drawn by B. A's charges arrive after all. What is
-    free still covers the first; the second would overspend, so it is set aside by name
-    and can be billed after a top-up, once.
+    Its remainder is freed and partly drawn by B. Then A's charges arrive. The free amount still
+    covers the first one. The second one would overspend, so it is withheld and listed, and can be
+    billed once after a top-up.
     """
-    ledger = funded()
+    ledger = make_funded_ledger()
     ledger.draw(A1, 1, 60)
     for _ in range(2):
         confirm = ConfirmDead(A1, "ann", "bob", NOW)
@@ -124,7 +122,7 @@
         assert ledger.charge(A1, "r2", 2, 30) is ChargeOutcome.IN_DOUBT
         ledger.restart()
     assert (ledger.sums().charged, ledger.sums().in_doubt, ledger.sums().free) == (20, 10, 0)
-    row = named(ledger)[-1]
+    row = listed_exceptions(ledger)[-1]
     assert (row.kind, row.amount, row.held) == (ExceptionKind.UNFUNDED, 30, 10)
     resolve = ResolveDoubt(row.number, True, "ann", "bob", NOW)
     assert ledger.apply(resolve).kind == ErrorKind.BUDGET_EXHAUSTED
@@ -137,7 +135,7 @@
 
 @pytest.mark.parametrize(("operator", "approver"), [("ann", "ann"), ("ann", ""), ("", "bob")])
 def test_one_person_alone_cannot_confirm_a_death(operator: str, approver: str):
-    ledger = funded()
+    ledger = make_funded_ledger()
     ledger.draw(A1, 1, 60)
     refused = ledger.apply(ConfirmDead(A1, operator, approver, NOW))
     assert (refused.kind, refused.field) == (ErrorKind.FORBIDDEN, "approver")
@@ -145,7 +143,7 @@
 
 
 def test_a_confirmed_death_does_not_touch_the_next_incarnation():
-    ledger = funded()
+    ledger = make_funded_ledger()
     ledger.draw(A1, 1, 10)
     ledger.apply(ConfirmDead(A1, "ann", "bob", NOW))
     assert ledger.draw(A1, 2, 10).kind == ErrorKind.CONFLICT
@@ -155,10 +153,10 @@
 
 
 def test_a_top_up_that_is_resent_is_credited_once():
-    """An operator tops up during a partition and loses the answer, then resends for hours.
+    """An operator's top-up loses its answer in a partition and is sent again for hours.
 
-    The ledger's host restarts between the two. Credited twice, the budget would be spent
-    beyond what was paid.
+    The ledger's host restarts in between. If the top-up were credited twice, the budget would be
+    spent beyond what was paid.
     """
     ledger = Ledger()
     for _ in range(5):
@@ -168,12 +166,12 @@
 
 
 def test_a_budget_of_exactly_one_request_is_spent_by_one_holder():
-    """Two hosts ask for the last 7 tokens at the same time, each for one request of 7.
+    """Two hosts draw the last 7 tokens at the same time, each for one request of 7.
 
-    One gets them and the other is told that nothing is free: never a part of 7 each,
-    which would serve nobody.
+    One gets all of them, and the other is told that nothing is free. A part of the 7 for each of
+    them would be of no use to either.
     """
-    ledger = funded(7)
+    ledger = make_funded_ledger(7)
     assert ledger.draw(A1, 1, 7, minimum=7).granted == 7
     refused = ledger.draw(B1, 1, 7, minimum=7)
     assert (refused.granted, refused.free, refused.outstanding) == (0, 0, 7)
@@ -182,44 +180,45 @@
     assert ledger.sums().charged == 7
 
 
-def transfer(taker_number: int, amount: int = 20, giver_number: int = 1) -> Transfer:
-    return Transfer("desk", B1, giver_number, A1, taker_number, amount, NOW)
+def transfer(recipient_number: int, amount: int = 20, donor_number: int = 1) -> Transfer:
+    return Transfer("desk", B1, donor_number, A1, recipient_number, amount, NOW)
 
 
 @pytest.mark.parametrize("reports", [(0, 1), (1, 0), (0,), (1,), (0, 0, 1, 1)])
 def test_a_transfer_moves_once_whoever_reports_it(reports: tuple[int, ...]):
     """B gives 20 to A. Either may die before its report, and both may report twice.
 
-    Moved twice, A's later charges would be taken from B's own money.
+    If the amount were moved twice, A's later charges would be deducted from B's own money.
     """
-    ledger = funded()
+    ledger = make_funded_ledger()
     ledger.draw(B1, 1, 50)
-    for taker_number in reports:
-        assert ledger.apply(transfer(taker_number)) == TransferResult(20)
+    for recipient_number in reports:
+        assert ledger.apply(transfer(recipient_number)) == TransferResult(20)
         ledger.restart()
     held = {one.holder: one.outstanding for one in ledger.sums().held}
     assert held == {A1: 20, B1: 30}
 
 
-def test_transfers_with_numbers_of_both_sides_are_told_apart():
-    """B gives A twice; A reports the first, and B the second, before A has heard of it.
+def test_transfers_with_numbers_of_both_sides_are_distinguished():
+    """B gives to A twice. A reports the first transfer, and B the second one, before A does.
 
-    B's report names no number of A. Taken for A's first, the second gift would be lost.
+    B's report has no number of A. If it were taken for the first transfer, the second amount would
+    be lost.
     """
-    ledger = funded()
+    ledger = make_funded_ledger()
     ledger.draw(B1, 1, 50)
-    ledger.apply(transfer(1, amount=20, giver_number=1))
-    assert ledger.apply(transfer(0, amount=7, giver_number=2)) == TransferResult(7)
+    ledger.apply(transfer(1, amount=20, donor_number=1))
+    assert ledger.apply(transfer(0, amount=7, donor_number=2)) == TransferResult(7)
     assert {one.holder: one.outstanding for one in ledger.sums().held} == {A1: 27, B1: 23}
 
 
 def test_money_that_was_passed_on_is_moved_in_the_order_in_which_it_was_given():
-    """Across a cut C gives 20 to B and B passes 25 on to A; A is the first to report.
+    """During a partition, C gives 20 to B and B passes 25 on to A; A is the first to report.
 
-    B has 10 at the ledger until C's gift is reported. Moving what B has, and telling A to
-    drop the rest, would take true money away from A.
+    At the ledger, B has 10 until C's transfer is reported. If the ledger moved only what B has and
+    told A to drop the rest, A would lose money that exists.
     """
-    ledger = funded(50)
+    ledger = make_funded_ledger(50)
     ledger.draw(B1, 1, 10)
     ledger.draw(C1, 1, 30)
     early = ledger.apply(transfer(1, amount=25))
@@ -230,12 +229,12 @@
     assert {one.holder: one.outstanding for one in ledger.sums().held} == {A1: 25, B1: 5, C1: 10}
 
 
-def test_a_transfer_of_a_giver_that_died_is_taken_from_what_it_left():
+def test_a_transfer_of_a_donor_that_died_is_taken_from_what_it_left():
     """B gives 20 to A and dies before any report; its successor has not delivered yet.
 
-    A reports: the money is B's, still held for it, so A's charge of it is covered.
+    A reports the transfer. The amount is still outstanding for B, so A's charge is covered.
     """
-    ledger = funded(50)
+    ledger = make_funded_ledger(50)
     ledger.draw(B1, 1, 50)
     ledger.apply(RegisterHolder(B1._replace(incarnation=2), False, NOW))
     assert ledger.apply(transfer(1)) == TransferResult(20)
@@ -244,13 +243,13 @@
     assert (ledger.sums().charged, ledger.sums().free) == (20, 30)
 
 
-def test_a_transfer_that_comes_after_its_money_was_spent_tells_the_taker_the_shortfall():
-    """B gives 20 to A across a cut, and operators confirm B dead before A can report.
+def test_a_transfer_that_comes_after_its_money_was_spent_returns_the_shortfall():
+    """B gives 20 to A in a partition, and operators confirm B dead before A can report.
 
-    B's whole remainder was freed and C drew most of it. A's late report gets what is
-    free, and A must drop the rest: the ledger never grants what it does not have.
+    B's full remainder was freed and C drew most of it. A's late report moves what is free, and A
+    must drop the rest: the ledger never grants more than it has.
     """
-    ledger = funded(50)
+    ledger = make_funded_ledger(50)
     ledger.draw(B1, 1, 50)
     ledger.apply(ConfirmDead(B1, "ann", "bob", NOW))
     ledger.draw(C1, 1, 45)
@@ -260,12 +259,12 @@
     assert ledger.sums().outstanding == 50
 
 
-def test_a_transfer_reported_by_the_giver_is_not_moved_again_after_the_giver_was_released():
-    """B reports its gift and dies, its remainder comes back, then A reports as well.
+def test_a_transfer_reported_by_the_donor_is_not_moved_again_after_the_donor_was_released():
+    """B reports its transfer and dies, its remainder is freed, then A reports as well.
 
-    B's numbers went with its allotment; A's side still knows the transfer.
+    B's numbers were removed with its allotment, but A's allotment still records the transfer.
     """
-    ledger = funded(50)
+    ledger = make_funded_ledger(50)
     ledger.draw(B1, 1, 50)
     ledger.apply(transfer(0))
     ledger.apply(ConfirmDead(B1, "ann", "bob", NOW))
@@ -274,9 +273,9 @@
     assert (ledger.sums().outstanding, ledger.sums().free) == (20, 30)
 
 
-def test_what_a_dead_taker_was_given_comes_back_with_its_remainder():
+def test_what_a_dead_recipient_received_is_freed_with_its_remainder():
     """B gives 20 to A, which dies before it reports; B reports, and A's successor starts."""
-    ledger = funded(50)
+    ledger = make_funded_ledger(50)
     ledger.draw(B1, 1, 50)
     ledger.apply(transfer(0))
     assert ledger.apply(RegisterHolder(A2, True, NOW)) == RegisterResult(20, 0)
@@ -284,7 +283,7 @@
     assert (ledger.sums().outstanding, ledger.sums().free) == (30, 20)
 
 
-SMALL = IdLimits(per_segment=4, merged=8, kept=8)
+SMALL_LIMITS = IdLimits(per_segment=4, merged=8, kept=8)
 
 
 def bill(ledger: Ledger, numbers: range) -> None:
@@ -295,7 +294,7 @@
 
 
 def test_an_id_is_found_in_the_newest_ids_and_in_every_kept_segment():
-    ledger = funded(100, SMALL)
+    ledger = make_funded_ledger(100, SMALL_LIMITS)
     ledger.draw(A1, 1, 50)
     ledger.draw(B1, 1, 50)
     bill(ledger, range(1, 11))
@@ -309,12 +308,12 @@
 
 
 def test_a_charge_older_than_the_kept_ids_is_never_billed_twice():
-    """The ledger keeps a bounded number of ids, and a host is cut off for longer than that.
+    """The ledger stores a limited number of ids, and a host is partitioned for longer than that.
 
-    It comes back with a charge whose id may have been billed through another host. Its
-    own resent charge is known by its number; any other is set aside for two persons.
+    It then sends a charge whose id may have been billed through another host. A resend of its own
+    charge is recognised by its number; any other charge is withheld until two people decide.
     """
-    ledger = funded(100, SMALL)
+    ledger = make_funded_ledger(100, SMALL_LIMITS)
     ledger.draw(A1, 1, 50)
     ledger.draw(B1, 1, 50)
     bill(ledger, range(1, 14))
@@ -322,7 +321,7 @@
     assert ledger.sums().charged == 13
     assert ledger.charge(B1, "r1", 1, 5, NOW + 1) is ChargeOutcome.IN_DOUBT
     assert (ledger.sums().charged, ledger.sums().in_doubt) == (13, 5)
-    (row,) = named(ledger)
+    (row,) = listed_exceptions(ledger)
     assert (row.kind, row.state) == (ExceptionKind.FORGOTTEN_ID, "open")
     for _ in range(2):
         release = ResolveDoubt(row.number, False, "ann", "bob", NOW)
@@ -332,15 +331,15 @@
 
 
 def test_a_number_that_was_used_for_another_request_is_set_aside():
-    ledger = funded()
+    ledger = make_funded_ledger()
     ledger.draw(A1, 1, 50)
     assert ledger.charge(A1, "r1", 1, 10) is ChargeOutcome.BILLED
     assert ledger.charge(A1, "r2", 1, 10) is ChargeOutcome.IN_DOUBT
-    assert named(ledger)[0].kind is ExceptionKind.NUMBER_REUSED
+    assert listed_exceptions(ledger)[0].kind is ExceptionKind.NUMBER_REUSED
 
 
 def test_a_charge_of_an_unknown_budget_or_an_impossible_amount_is_refused():
-    ledger = funded()
+    ledger = make_funded_ledger()
     ledger.draw(A1, 1, 50)
     assert ledger.charge(A1, "r1", 1, -1) is ChargeOutcome.REFUSED
     assert ledger.charge(A1, "r1", 1, 1, reserved_at=1e300) is ChargeOutcome.REFUSED
@@ -348,9 +347,9 @@
     assert ledger.sums().charged == 0
 
 
-def test_a_holder_that_is_silent_for_long_is_named_with_what_it_holds():
-    ledger = funded()
+def test_a_holder_that_is_unresponsive_for_long_is_listed_with_what_it_holds():
+    ledger = make_funded_ledger()
     ledger.draw(A1, 1, 50)
-    assert named(ledger, NOW + 3_600.0) == []
-    (row,) = named(ledger, NOW + 90_000.0)
+    assert listed_exceptions(ledger, NOW + 3_600.0) == []
+    (row,) = listed_exceptions(ledger, NOW + 90_000.0)
     assert (row.kind, row.holder, row.amount) == (ExceptionKind.SILENT_HOLDER, A1, 50)
--- a/tests/budgets/test_ledger_ids.py
+++ b/tests/budgets/test_ledger_ids.py
@@ -1,4 +1,4 @@
-"""Find every kept id, and never take a forgotten one for a new one."""
+"""Finds every stored id, and never treats an evicted id as a new one."""
 
 import pytest
 
@@ -13,8 +13,8 @@
 
 
 @pytest.mark.parametrize("limits", [IdLimits(3, 2, 20), IdLimits(4, 8, 8), IdLimits(1, 3, 5)])
-def test_the_newest_are_found_and_the_floor_covers_what_is_forgotten(limits: IdLimits):
-    """Ids come in the order of their charges, some reserved long before others."""
+def test_the_newest_are_found_and_the_floor_covers_what_is_evicted(limits: IdLimits):
+    """Ids arrive in the order of their charges, and some were reserved long before others."""
     ids = ChargeIds(limits)
     reserved_at = {number * 7919 % 2**64: float(number - number % 5) for number in range(1, 90)}
     for count, (id_, at) in enumerate(reserved_at.items(), 1):
@@ -22,10 +22,10 @@
         ids.trim()
         if count % 10 == 0:
             ids = reload(ids, limits)
-        known = list(reserved_at)[:count]
-        found = ids.find_old(known)
-        kept = [one for one in known if ids.find_new(one) or one in found]
-        assert kept[-limits.kept :] == known[-limits.kept :]
+        added = list(reserved_at)[:count]
+        found = ids.find_in_segments(added)
+        kept = [one for one in added if ids.find_recent(one) or one in found]
+        assert kept[-limits.kept :] == added[-limits.kept :]
         assert len(ids) == len(kept) <= limits.kept + limits.per_segment * (limits.merged + 1)
         assert all(found[one] == one + 1 for one in found)
-        assert all(reserved_at[one] <= ids.floor for one in set(known) - set(kept))
+        assert all(reserved_at[one] <= ids.floor for one in set(added) - set(kept))
--- a/tests/budgets/test_totals.py
+++ b/tests/budgets/test_totals.py
@@ -1,4 +1,4 @@
-"""Credit budgets up to the totals of the configuration."""
+"""Credits budgets up to the totals of the configuration."""
 
 from cranberrywall.budgets import BudgetTotal, CreditUpdater, make_ledger_machine
 from cranberrywall.budgets.messages import (
@@ -30,7 +30,7 @@
 
 
 def test_a_total_is_credited_once_and_never_taken_back() -> None:
-    """The command comes twice, late and in another order than the configurations."""
+    """The command arrives twice, late, and in a different order than the configurations."""
     group = FakeGroup("ledger-0", make_ledger_machine)
     for amount, expected in ((0, 0), (100, 100), (100, 100), (250, 250), (100, 250), (250, 250)):
         apply(group, amount)
@@ -41,20 +41,20 @@
     async def scenario() -> None:
         group = FakeGroup("ledger-0", make_ledger_machine)
         totals = [total(100)]
-        raiser = CreditUpdater([group], lambda: totals, VirtualClock())
+        updater = CreditUpdater([group], lambda: totals, VirtualClock())
         group.is_leader = False
-        await raiser.raise_missing()
+        await updater.credit_missing()
         assert credited(group) == 0
         group.is_leader = True
-        await raiser.raise_missing()
+        await updater.credit_missing()
         assert credited(group) == 100
         commands = len(group.commands)
-        await raiser.raise_missing()
+        await updater.credit_missing()
         assert len(group.commands) == commands
         totals[0] = total(300)
         group.answers_lost = 1
-        await raiser.raise_missing()
-        await raiser.raise_missing()
+        await updater.credit_missing()
+        await updater.credit_missing()
         assert credited(group) == 300
 
     run_virtual(scenario())
