--- a/cranberrywall/commands/_control_program.py
+++ b/cranberrywall/commands/_control_program.py
@@ -225,7 +225,7 @@
     me = SpreadHost(settings["host"], settings["place"], settings["listen"]["links"])
     listed = make_document_peers(lambda: _document_of(machine))
     peers = connections if settings.get("seeds") else listed
-    return make_control_feed(me, machine, peers, caller, clock, connections.tellers.tells)
+    return make_control_feed(me, machine, peers, caller, clock, connections.tellers.notifies)
 
 
 def _document_of(machine: ConfigurationMachine) -> Document:
@@ -283,7 +283,7 @@
     host: ControlHost, counters: LinkCounters, ledger_by_group: Mapping[str, LedgerMachine]
 ) -> Metrics:
     metrics = make_metrics()
-    metrics.gauge_of("groups_led", "Groups that this host leads.", lambda: len(host.led()))
+    metrics.gauge_of("groups_led", "Groups that this host leads.", lambda: len(host.led_groups()))
     counters.export(metrics)
 
     def total(read: Callable[[LedgerSummary], int]) -> Callable[[], float]:
--- a/cranberrywall/commands/_control_ties.py
+++ b/cranberrywall/commands/_control_ties.py
@@ -75,10 +75,12 @@
         kinds = partial(_target_kinds, machine)
         links = settings["listen"]["links"]
         self.relay = TargetRelay(
-            self._entry_runs, host.caller, clock, kinds, self._others, self.tellers.tells
+            self._entry_runs, host.caller, clock, kinds, self._others, self.tellers.notifies
         )
         self.relay.register(host.server)
-        self._enlistment = GroupJoiner(me.host, links, host.unheard, self._enlist, clock)
+        self._enlistment = GroupJoiner(
+            me.host, links, host.groups_without_leader, self._enlist, clock
+        )
 
     def controls(self) -> Sequence[str]:
         """Return the control hosts' stream addresses known now."""
--- a/cranberrywall/configuration/_feed.py
+++ b/cranberrywall/configuration/_feed.py
@@ -80,15 +80,15 @@
     peers: Peers,
     caller: Caller,
     clock: Clock,
-    tells: Callable[[str], bool] = lambda links: True,
+    notifies: Callable[[str], bool] = lambda links: True,
 ) -> "Feed":
     """Return the spread's part on a control host; ``source`` is its group's machine.
 
-    It tells those of ``peers`` for whose address ``tells`` says so.
+    It tells those of ``peers`` for whose address ``notifies`` says so.
     """
 
     def fall_to_me() -> list[str]:
-        return [host.links for host in peers.alive() if tells(host.links)]
+        return [host.links for host in peers.alive() if notifies(host.links)]
 
     return Feed(me, source, caller, clock, fall_to_me, TELL_FOR_S)
 
--- a/cranberrywall/control/_contacts.py
+++ b/cranberrywall/control/_contacts.py
@@ -114,14 +114,14 @@
         self,
         host: str,
         links: str,
-        unheard: Callable[[], Sequence[str]],
+        groups_without_leader: Callable[[], Sequence[str]],
         enlist: Enlist,
         clock: Clock,
     ) -> None:
-        """``unheard`` gives the groups of which this host hears no leader."""
+        """``groups_without_leader`` gives the groups of which this host hears no leader."""
         self._host = host
         self._links = links
-        self._unheard = unheard
+        self._unheard = groups_without_leader
         self._enlist = enlist
         self._clock = clock
 
--- a/cranberrywall/control/_program.py
+++ b/cranberrywall/control/_program.py
@@ -155,11 +155,11 @@
         await self.server.close()
         await self.caller.close()
 
-    def led(self) -> list[str]:
+    def led_groups(self) -> list[str]:
         """Return the groups that this host leads."""
         return [name for name, group in self.group_by_name.items() if group.is_leader]
 
-    def unheard(self) -> list[str]:
+    def groups_without_leader(self) -> list[str]:
         """Return the groups of which this host hears no leader."""
         return [name for name, group in self.group_by_name.items() if not group.has_leader_contact]
 
@@ -180,7 +180,7 @@
         """Return why this host does not answer calls yet, or ``None``."""
         if not self._is_started:
             return "the groups are being opened"
-        lost = self.unheard()
+        lost = self.groups_without_leader()
         return f"no leader is known of {', '.join(lost)}" if lost else None
 
     def state(self) -> dict[str, Any]:
--- a/cranberrywall/control/_tellers.py
+++ b/cranberrywall/control/_tellers.py
@@ -21,7 +21,7 @@
         self._among: frozenset[str] = frozenset()
         self._is_mine_by_entry: dict[str, bool] = {}
 
-    def tells(self, entry: str) -> bool:
+    def notifies(self, entry: str) -> bool:
         """Say whether the entry host at an address is told by this control host."""
         among = frozenset((self._own, *self._controls()))
         if among != self._among:
--- a/measurements/_confirmed_fleet.py
+++ b/measurements/_confirmed_fleet.py
@@ -67,7 +67,7 @@
         """Return the stream addresses of all control hosts."""
         return self._members
 
-    def unheard(self) -> list[str]:
+    def groups_without_leader(self) -> list[str]:
         """Return no group: all have their leader."""
         return []
 
@@ -89,7 +89,12 @@
         self.connections = ControlConnections(settings, runtime, identity, groups, self.machine)
         self.relay = self.connections.relay
         self.feed = make_control_feed(
-            me, self.machine, self.connections, self.caller, clock, self.connections.tellers.tells
+            me,
+            self.machine,
+            self.connections,
+            self.caller,
+            clock,
+            self.connections.tellers.notifies,
         )
         self.feed.register(self.server)
         self._tasks: list[asyncio.Task[Any]] = []
--- a/tests/control/hosts.py
+++ b/tests/control/hosts.py
@@ -69,9 +69,11 @@
     async def leader(self) -> str:
         """Wait until one host leads, and return its name."""
         for _ in range(600):
-            led = [host for host, control in self.host_by_name.items() if control.led()]
-            if led:
-                return led[-1]
+            led_groups = [
+                host for host, control in self.host_by_name.items() if control.led_groups()
+            ]
+            if led_groups:
+                return led_groups[-1]
             await asyncio.sleep(0.1)
         raise AssertionError("no leader came")
 
--- a/tests/control/test_tellers.py
+++ b/tests/control/test_tellers.py
@@ -14,8 +14,8 @@
     """
     tellers = [NotifierAssignment(own, lambda: CONTROLS) for own in CONTROLS]
     for entry in ENTRIES:
-        assert sum(one.tells(entry) for one in tellers) == NOTIFIERS_PER_HOST
-    told = [sum(one.tells(entry) for entry in ENTRIES) for one in tellers]
+        assert sum(one.notifies(entry) for one in tellers) == NOTIFIERS_PER_HOST
+    told = [sum(one.notifies(entry) for entry in ENTRIES) for one in tellers]
     mean = len(ENTRIES) * NOTIFIERS_PER_HOST / len(CONTROLS)
     assert max(told) < 2 * mean
 
@@ -23,9 +23,9 @@
 def test_the_hosts_of_a_control_host_that_goes_fall_to_others() -> None:
     known = list(CONTROLS)
     tellers = [NotifierAssignment(own, lambda: known) for own in CONTROLS[1:]]
-    before = [one.tells(entry) for one in tellers for entry in ENTRIES]
+    before = [one.notifies(entry) for one in tellers for entry in ENTRIES]
     known.remove(CONTROLS[0])
-    after = [one.tells(entry) for one in tellers for entry in ENTRIES]
+    after = [one.notifies(entry) for one in tellers for entry in ENTRIES]
     assert all(late >= early for early, late in zip(before, after, strict=True))
     for entry in ENTRIES:
-        assert sum(one.tells(entry) for one in tellers) == NOTIFIERS_PER_HOST
+        assert sum(one.notifies(entry) for one in tellers) == NOTIFIERS_PER_HOST
--- a/tests/targets/test_relay.py
+++ b/tests/targets/test_relay.py
@@ -211,7 +211,9 @@
                 clock,
                 others=lambda others=others: others,  # type: ignore[misc] # bound for each
                 is_assigned=(
-                    NotifierAssignment(name, lambda: names).tells if shares else lambda links: True
+                    NotifierAssignment(name, lambda: names).notifies
+                    if shares
+                    else lambda links: True
                 ),
             )
 
