--- a/cranberrywall/callers/_addresses.py
+++ b/cranberrywall/callers/_addresses.py
@@ -1,4 +1,4 @@
-"""Tell callers which hosts to use."""
+"""Selection of the entry hosts that callers should use."""
 
 import math
 from collections.abc import Iterable, Sequence
@@ -9,19 +9,21 @@
 
 from cranberrywall.hosts import HostState, HostView
 
-MOST_ADDRESSES = 16
-"""Addresses in an answer: its size must not grow with the fleet."""
+MAX_ADDRESSES = 16
+"""Maximum number of addresses in an answer, so that its size does not grow with the fleet."""
 
-MOST_NEAR = 12
-"""Addresses of the caller's place, where others have any: a whole place may be lost."""
+MAX_LOCAL_ADDRESSES = 12
+"""Maximum number of addresses in the caller's place if other places have enough hosts.
+
+The other addresses are for the case that all hosts of the place are lost."""
 
 _OWN_PLACE_FACTOR = 4.0
-_LEAST_WEIGHT = 0.05
-_HASHES = 2.0**64
+_MIN_WEIGHT = 0.05
+_HASH_RANGE = 2.0**64
 
 
 class CallerAddress(NamedTuple):
-    """Name one host for callers; a share ``weight`` of their calls should go to it."""
+    """Address of one host; ``weight`` is the share of a caller's calls that should go to it."""
 
     url: str
     weight: float
@@ -29,15 +31,18 @@
 
 
 def rank_addresses(
-    hosts: Sequence[HostView], place: str, answering: str, scheme: str = "http"
+    hosts: Sequence[HostView], place: str, answering_host: str, scheme: str = "http"
 ) -> list[CallerAddress]:
-    """Return the hosts to use, best first, ``MOST_ADDRESSES`` of them at most.
+    """Return the hosts to use, best first, at most ``MAX_ADDRESSES``.
+
+    Hosts in ``place`` have a higher weight, busy hosts a lower one. Each host keeps a minimum
+    weight, so that callers notice when a busy host has capacity again. Leaving, suspect and dead
+    hosts are omitted.
 
-    Hosts in ``place`` weigh more, busy ones less; each keeps a little weight, so that
-    callers notice when a busy host has become free. Hosts that leave, are suspect or dead
-    are not named. In a large fleet each ``answering`` host names a selection of its own,
-    by a hash of both names: were all to name the same ones, those would get all callers.
-    ``scheme`` is how the caller reached this host; the hosts of a fleet serve alike.
+    In a large fleet, each ``answering_host`` returns a different selection, which depends on a
+    hash of its own name and the name of each host. If all returned the same hosts, those would
+    receive all callers. ``scheme`` is the one that the caller used; all hosts of a fleet serve
+    the same scheme.
 
     >>> from cranberrywall.hosts import HostState, HostView
     >>> def view(host, place, state, load):
@@ -48,9 +53,9 @@
     >>> [(address.url, address.weight) for address in rank_addresses(hosts, "domzale", "3")]
     [('http://127.0.0.1:3', 0.8), ('http://127.0.0.1:1', 0.2)]
     """
-    usable = [view for view in hosts if view.state is HostState.ALIVE and view.http]
-    chosen = _choose(usable, place, answering)
-    weights = [_weigh(view, place) for view in chosen]
+    candidates = [view for view in hosts if view.state is HostState.ALIVE and view.http]
+    chosen = _choose(candidates, place, answering_host)
+    weights = [_weight_of(view, place) for view in chosen]
     total = sum(weights)
     addresses = [
         CallerAddress(f"{scheme}://{view.http}", round(weight / total, 4), view.place)
@@ -59,27 +64,30 @@
     return sorted(addresses, key=lambda address: (-address.weight, address.url))
 
 
-def _choose(usable: Sequence[HostView], place: str, answering: str) -> list[HostView]:
-    near = [view for view in usable if view.place == place]
-    far = [view for view in usable if view.place != place]
-    near_room = max(MOST_NEAR, MOST_ADDRESSES - len(far))
-    chosen = _draw(near, near_room, place, answering)
-    return chosen + _draw(far, MOST_ADDRESSES - len(chosen), place, answering)
+def _choose(candidates: Sequence[HostView], place: str, answering_host: str) -> list[HostView]:
+    local = [view for view in candidates if view.place == place]
+    remote = [view for view in candidates if view.place != place]
+    max_local = max(MAX_LOCAL_ADDRESSES, MAX_ADDRESSES - len(remote))
+    chosen = _sample(local, max_local, place, answering_host)
+    return chosen + _sample(remote, MAX_ADDRESSES - len(chosen), place, answering_host)
 
 
-def _draw(views: Iterable[HostView], count: int, place: str, answering: str) -> list[HostView]:
-    """Return ``count`` of the hosts, each by chance in proportion to its weight.
+def _sample(
+    views: Iterable[HostView], count: int, place: str, answering_host: str
+) -> list[HostView]:
+    """Return a weighted random sample of ``count`` hosts.
 
-    The chance is a hash, so that an answer changes only where a host came or went.
+    The random numbers are hashes of the host names, so an answer changes only when a host joins
+    or leaves.
     """
 
-    def arrival(view: HostView) -> float:
-        hashed = xxhash.xxh64_intdigest(f"{answering}\n{view.host}".encode()) + 1
-        return -math.log(hashed / _HASHES) / _weigh(view, place)
+    def sampling_key(view: HostView) -> float:
+        hashed = xxhash.xxh64_intdigest(f"{answering_host}\n{view.host}".encode()) + 1
+        return -math.log(hashed / _HASH_RANGE) / _weight_of(view, place)
 
-    return nsmallest(count, views, key=arrival)
+    return nsmallest(count, views, key=sampling_key)
 
 
-def _weigh(view: HostView, place: str) -> float:
-    near = _OWN_PLACE_FACTOR if view.place == place else 1.0
-    return near * max(_LEAST_WEIGHT, 1.0 - view.load)
+def _weight_of(view: HostView, place: str) -> float:
+    local = _OWN_PLACE_FACTOR if view.place == place else 1.0
+    return local * max(_MIN_WEIGHT, 1.0 - view.load)
--- a/cranberrywall/callers/_admission.py
+++ b/cranberrywall/callers/_admission.py
@@ -1,4 +1,4 @@
-"""Admit a call: who asks, under which name, with which priority, and until when."""
+"""Admission of calls: authentication, request name, priority and deadline."""
 
 import math
 import re
@@ -13,14 +13,14 @@
 from cranberrywall.runtime import Random
 
 _BEARER = re.compile(r"Bearer +(\S+)", re.IGNORECASE)
-_LONGEST_DEADLINE_S = 7 * 86_400.0
+_MAX_DEADLINE_S = 7 * 86_400.0
 
 
 class Caller(NamedTuple):
-    """Describe who asks and how.
+    """Caller of one request, as admitted.
 
-    ``start_by`` is when the answer must have begun and ``end_by`` when it must be whole,
-    ``None`` where the caller set no time; both in monotonic seconds.
+    The answer must start by ``start_by`` and be complete by ``end_by``, both in monotonic
+    seconds. ``end_by`` is ``None`` if the caller sent no deadline.
     """
 
     workspace: NamedWorkspace
@@ -30,10 +30,10 @@
     end_by: float | None
 
 
-def find_workspace(
+def authenticate(
     headers: "web.Request", configuration: Configuration
 ) -> Result[NamedWorkspace, Refusal]:
-    """Return the workspace of the request's bearer key."""
+    """Return the workspace that the request's bearer key belongs to."""
     if configuration.revision == 0:
         return Err(Refusal(ErrorKind.NOT_READY, "this host has no configuration yet"))
     match = _BEARER.fullmatch(headers.headers.get("Authorization", ""))
@@ -44,7 +44,7 @@
                 ErrorKind.UNAUTHENTICATED,
                 "the key is missing or unknown",
                 field="Authorization",
-                remedy="send 'Bearer ' and a key of the workspace",
+                remedy="send 'Bearer ' followed by a key of the workspace",
             )
         )
     return Ok(workspace)
@@ -53,41 +53,41 @@
 def admit(
     request: web.Request, configuration: Configuration, random: Random, now: float
 ) -> Result[Caller, Refusal]:
-    """Read the headers of a call."""
-    workspace = find_workspace(request, configuration)
+    """Authenticate a call and validate its headers."""
+    workspace = authenticate(request, configuration)
     if isinstance(workspace, Err):
         return workspace
-    named = workspace.ok_value
-    name = name_request(named.name, request.headers.get("Idempotency-Key"), random)
+    named_workspace = workspace.ok_value
+    name = name_request(named_workspace.name, request.headers.get("Idempotency-Key"), random)
     if isinstance(name, Err):
         return name
-    priority = _find_priority(request, named, configuration)
+    priority = _find_priority(request, named_workspace, configuration)
     if isinstance(priority, Err):
         return priority
-    waits_s = _read_deadline(request)
-    if isinstance(waits_s, Err):
-        return waits_s
-    end_by = None if waits_s.ok_value is None else now + waits_s.ok_value
+    deadline_s = _read_deadline(request)
+    if isinstance(deadline_s, Err):
+        return deadline_s
+    end_by = None if deadline_s.ok_value is None else now + deadline_s.ok_value
     start_by = now + priority.ok_value["deadline_s"]
     if end_by is not None:
         start_by = min(start_by, end_by)
-    return Ok(Caller(named, name.ok_value, priority.ok_value["rank"], start_by, end_by))
+    return Ok(Caller(named_workspace, name.ok_value, priority.ok_value["rank"], start_by, end_by))
 
 
 def _find_priority(
-    request: web.Request, named: NamedWorkspace, configuration: Configuration
+    request: web.Request, named_workspace: NamedWorkspace, configuration: Configuration
 ) -> Result[Priority, Refusal]:
-    workspace = named.workspace
-    asked = request.headers.get("X-Priority", workspace["priority"])
+    workspace = named_workspace.workspace
+    requested = request.headers.get("X-Priority", workspace["priority"])
     allowed = {workspace["priority"], *workspace["priorities"]}
-    priority = configuration.document["priorities"].get(asked)
-    if asked not in allowed or priority is None:
+    priority = configuration.document["priorities"].get(requested)
+    if requested not in allowed or priority is None:
         return Err(
             Refusal(
                 ErrorKind.FORBIDDEN,
-                "is not a class that this workspace may name",
+                "is not a priority class that this workspace may use",
                 field="X-Priority",
-                remedy=f"name one of: {', '.join(sorted(allowed))}",
+                remedy=f"send one of: {', '.join(sorted(allowed))}",
             )
         )
     return Ok(priority)
@@ -101,11 +101,11 @@
         seconds = float(text)
     except ValueError:
         seconds = math.nan
-    if not 0 < seconds <= _LONGEST_DEADLINE_S:
+    if not 0 < seconds <= _MAX_DEADLINE_S:
         return Err(
             Refusal(
                 ErrorKind.BAD_REQUEST,
-                "must be a number of seconds above 0 and at most a week",
+                "must be a number of seconds greater than 0 and at most one week",
                 field="X-Deadline-S",
                 remedy="send a number such as 2.5",
             )
--- a/cranberrywall/callers/_answers.py
+++ b/cranberrywall/callers/_answers.py
@@ -1,4 +1,4 @@
-"""Write answers to callers: errors from the table, and the headers that every answer has."""
+"""Error answers and common headers of answers to callers."""
 
 import math
 
@@ -13,12 +13,12 @@
 
 
 def answer_headers(request_id: str, ran: Ran) -> dict[str, str]:
-    """Return the headers that every answer has."""
+    """Return the headers that are part of every answer."""
     return {REQUEST_ID_HEADER: request_id, RAN_HEADER: str(ran)}
 
 
 def error_body(refusal: Refusal) -> bytes:
-    """Return the JSON of an error."""
+    """Return the JSON body of an error answer."""
     answer = answer_for(refusal)
     error = {
         "code": refusal.kind,
@@ -43,5 +43,5 @@
 
 
 def error_frame(refusal: Refusal) -> bytes:
-    """Return the event that ends a stream which cannot be completed."""
+    """Return the event that reports an error at the end of an incomplete stream."""
     return b"data: " + error_body(refusal) + b"\n\n"
--- a/cranberrywall/callers/_app.py
+++ b/cranberrywall/callers/_app.py
@@ -1,4 +1,4 @@
-"""Put the callers' routes together."""
+"""HTTP routes and error middleware of the callers' API."""
 
 import asyncio
 
@@ -8,20 +8,20 @@
 from result import Err
 
 from cranberrywall.callers._addresses import rank_addresses
-from cranberrywall.callers._admission import find_workspace
+from cranberrywall.callers._admission import authenticate
 from cranberrywall.callers._answers import JSON
 from cranberrywall.callers._chat import ChatHandler
-from cranberrywall.callers._parts import CallerParts
+from cranberrywall.callers._context import CallerContext
 from cranberrywall.callers._services import ServiceHandler
 from cranberrywall.errors import ErrorKind, Refusal
 from cranberrywall.observability import log_event
 
 
-def make_caller_routes(parts: CallerParts) -> list[web.RouteDef]:
-    """Return the routes that callers use."""
-    chat = ChatHandler(parts)
-    services = ServiceHandler(parts)
-    listings = _Listings(parts)
+def make_caller_routes(context: CallerContext) -> list[web.RouteDef]:
+    """Return the routes of the callers' API."""
+    chat = ChatHandler(context)
+    services = ServiceHandler(context)
+    listings = _Listings(context)
     return [
         web.post("/v1/chat/completions", chat.complete),
         web.route("*", "/v1/services/{service}", services.call),
@@ -32,54 +32,54 @@
 
 
 class _Listings:
-    def __init__(self, parts: CallerParts) -> None:
-        self._parts = parts
+    def __init__(self, context: CallerContext) -> None:
+        self._context = context
 
     async def addresses(self, request: web.Request) -> web.Response:
-        """Answer ``GET /v1/addresses``; it needs no key, and works before a configuration."""
-        parts = self._parts
-        alive = parts.membership.alive()
-        addresses = rank_addresses(alive, parts.place, parts.host, request.scheme)
+        """Handle ``GET /v1/addresses``, which requires neither a key nor a configuration."""
+        context = self._context
+        alive = context.membership.alive()
+        addresses = rank_addresses(alive, context.place, context.host, request.scheme)
         body = {
             "addresses": [address._asdict() for address in addresses],
-            "ttl_s": parts.limits.ttl_s,
+            "ttl_s": context.limits.ttl_s,
         }
         return web.Response(body=msgspec.json.encode(body), content_type=JSON)
 
     async def models(self, request: web.Request) -> web.Response:
-        """Answer ``GET /v1/models``."""
-        found = find_workspace(request, self._parts.configuration)
+        """Handle ``GET /v1/models``."""
+        found = authenticate(request, self._context.configuration)
         if isinstance(found, Err):
-            return self._parts.refuse(found.err_value, "")
-        known = self._parts.configuration.document["models"]
-        reach = found.ok_value.workspace["reach"]["models"]
+            return self._context.refuse(found.err_value, "")
+        configured_models = self._context.configuration.document["models"]
+        allowed_models = found.ok_value.workspace["reach"]["models"]
         models = [
             {"id": name, "object": "model", "created": 0, "owned_by": "cranberrywall"}
-            for name in reach
-            if name in known
+            for name in allowed_models
+            if name in configured_models
         ]
         body = {"object": "list", "data": models}
         return web.Response(body=msgspec.json.encode(body), content_type=JSON)
 
 
-def make_error_middleware(parts: CallerParts) -> Middleware:
-    """Return a middleware that gives every failure the one shape of errors."""
+def make_error_middleware(context: CallerContext) -> Middleware:
+    """Return a middleware that converts every failure to the common error format."""
 
     @web.middleware
     async def answer_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
         try:
             return await handler(request)
         except web.HTTPNotFound:
-            return parts.refuse(Refusal(ErrorKind.NOT_FOUND, "no such path", "path"), "")
+            return context.refuse(Refusal(ErrorKind.NOT_FOUND, "no such path", "path"), "")
         except web.HTTPMethodNotAllowed:
-            refusal = Refusal(ErrorKind.NOT_FOUND, "no such method here", "method")
-            return parts.refuse(refusal, "")
+            refusal = Refusal(ErrorKind.NOT_FOUND, "no such method for this path", "method")
+            return context.refuse(refusal, "")
         except web.HTTPException as error:
-            return parts.refuse(Refusal(ErrorKind.BAD_REQUEST, error.reason), "")
+            return context.refuse(Refusal(ErrorKind.BAD_REQUEST, error.reason), "")
         except (ConnectionError, asyncio.CancelledError):
             raise
         except Exception as error:
             log_event("ERROR", "handler_failed", error, path=request.path)
-            return parts.refuse(Refusal(ErrorKind.INTERNAL, "the handler failed"), "")
+            return context.refuse(Refusal(ErrorKind.INTERNAL, "the request handler failed"), "")
 
     return answer_errors
--- a/cranberrywall/callers/_chat.py
+++ b/cranberrywall/callers/_chat.py
@@ -1,4 +1,4 @@
-"""Answer ``POST /v1/chat/completions``."""
+"""Handler of ``POST /v1/chat/completions``."""
 
 from aiohttp import web
 from result import Err, Ok, Result
@@ -6,7 +6,7 @@
 from cranberrywall.callers._admission import Caller, admit
 from cranberrywall.callers._answers import JSON, answer_headers
 from cranberrywall.callers._bodies import read_body
-from cranberrywall.callers._parts import CallerParts
+from cranberrywall.callers._context import CallerContext
 from cranberrywall.callers._streams import stream_run
 from cranberrywall.errors import ErrorKind, Ran, Refusal
 from cranberrywall.requests import (
@@ -21,41 +21,41 @@
 
 
 class ChatHandler:
-    """Carry chat completions between callers and runs."""
+    """Handle chat completions: start or join a run, and send its result to the caller."""
 
-    def __init__(self, parts: CallerParts) -> None:
-        self._parts = parts
+    def __init__(self, context: CallerContext) -> None:
+        self._context = context
 
     async def complete(self, request: web.Request) -> web.StreamResponse:
-        """Answer one chat completion, streamed or not."""
-        parts = self._parts
-        now = parts.clock.now()
-        admitted = admit(request, parts.configuration, parts.random, now)
+        """Handle one chat completion, streamed or not."""
+        context = self._context
+        now = context.clock.now()
+        admitted = admit(request, context.configuration, context.random, now)
         if isinstance(admitted, Err):
-            return parts.refuse(admitted.err_value, "")
+            return context.refuse(admitted.err_value, "")
         caller = admitted.ok_value
         request_id = caller.name.request_id
-        body = await read_body(request, parts.limits.bodies)
+        body = await read_body(request, context.limits.bodies)
         if isinstance(body, Err):
-            return parts.refuse(body.err_value, request_id)
+            return context.refuse(body.err_value, request_id)
         prepared = parse_chat_body(body.ok_value).and_then(lambda chat: self._plan(caller, chat))
         if isinstance(prepared, Err):
-            return parts.refuse(prepared.err_value, request_id)
-        started = await parts.chats.start_or_join(prepared.ok_value, now)
+            return context.refuse(prepared.err_value, request_id)
+        started = await context.chats.start_or_join(prepared.ok_value, now)
         if isinstance(started, Err):
-            return parts.refuse(started.err_value, request_id)
+            return context.refuse(started.err_value, request_id)
         return await self._answer(request, prepared.ok_value, started.ok_value)
 
     def _plan(self, caller: Caller, body: ChatBody) -> Result[ChatRequest, Refusal]:
-        document = self._parts.configuration.document
+        document = self._context.configuration.document
         workspace = caller.workspace.workspace
         model = document["models"].get(body.model)
         if model is None:
             return Err(_unknown_model())
         if body.model not in workspace["reach"]["models"]:
-            return Err(_out_of_reach())
+            return Err(_model_forbidden())
         policy = document["policies"].get(workspace["policy"])
-        bound = bound_chat(body, model, policy, self._parts.bounds)
+        bound = bound_chat(body, model, policy, self._context.bounds)
         if isinstance(bound, Err):
             return bound
         budget = workspace["budget"]
@@ -79,15 +79,15 @@
     ) -> web.StreamResponse:
         try:
             if planned.body.stream:
-                return await stream_run(request, run, self._parts.limits.write_timeout_s)
+                return await stream_run(request, run, self._context.limits.write_timeout_s)
             await run.wait_ended()
-            return self._answer_whole(run)
+            return self._answer_complete(run)
         finally:
-            self._parts.chats.leave(run)
+            self._context.chats.leave(run)
 
-    def _answer_whole(self, run: Run) -> web.Response:
+    def _answer_complete(self, run: Run) -> web.Response:
         if run.refusal is not None:
-            return self._parts.refuse(run.refusal, run.name.request_id)
+            return self._context.refuse(run.refusal, run.name.request_id)
         return web.Response(
             body=assemble_completion(run.frames, run.name.request_id, run.usage),
             content_type=JSON,
@@ -108,7 +108,7 @@
     )
 
 
-def _out_of_reach() -> Refusal:
+def _model_forbidden() -> Refusal:
     return Refusal(
         ErrorKind.FORBIDDEN,
         "the workspace may not use this model",
--- a/cranberrywall/callers/_parts.py
+++ b/cranberrywall/callers/_context.py
@@ -1,4 +1,4 @@
-"""Gather what the callers' handlers need."""
+"""Limits and dependencies of the callers' request handlers."""
 
 from typing import NamedTuple
 
@@ -15,9 +15,11 @@
 
 
 class CallerLimits(NamedTuple):
-    """Limit callers: ``write_timeout_s`` seconds for a caller to take what it is sent.
+    """Limits for callers.
 
-    ``ttl_s`` is how long callers may keep an answer to ``GET /v1/addresses``.
+    ``write_timeout_s`` is the time within which a caller must accept data that is sent to it, in
+    seconds. ``ttl_s`` is the time for which callers may cache an answer to ``GET /v1/addresses``,
+    in seconds.
     """
 
     bodies: BodyLimits = BodyLimits()
@@ -25,8 +27,8 @@
     ttl_s: float = 10.0
 
 
-class CallerParts(NamedTuple):
-    """Hold the parts that answer callers on one entry host; ``place`` is the host's own."""
+class CallerContext(NamedTuple):
+    """Dependencies of the request handlers of one entry host; ``place`` is the host's place."""
 
     host: str
     place: str
@@ -41,6 +43,6 @@
     limits: CallerLimits
 
     def refuse(self, refusal: Refusal, request_id: str) -> web.Response:
-        """Count a refusal and return its answer."""
+        """Count a refusal and return the error answer."""
         self.metrics.refused.labels(str(refusal.kind)).inc()
         return error_response(refusal, request_id)
--- a/cranberrywall/callers/_services.py
+++ b/cranberrywall/callers/_services.py
@@ -1,4 +1,4 @@
-"""Answer calls to plain services."""
+"""Handler of calls to services."""
 
 from aiohttp import web
 from result import Err, Ok, Result
@@ -6,7 +6,7 @@
 from cranberrywall.callers._admission import Caller, admit
 from cranberrywall.callers._answers import answer_headers
 from cranberrywall.callers._bodies import read_body
-from cranberrywall.callers._parts import CallerParts
+from cranberrywall.callers._context import CallerContext
 from cranberrywall.errors import ErrorKind, Ran, Refusal
 from cranberrywall.requests import (
     ServiceAnswer,
@@ -21,46 +21,46 @@
 _FORWARDED_HEADERS = frozenset(
     {"accept", "accept-language", "content-type", "if-match", "if-none-match", "user-agent"}
 )
-_PASSED_PREFIX = "x-app-"
+_FORWARDED_PREFIX = "x-app-"
 
 
 class ServiceHandler:
-    """Carry calls between callers and services."""
+    """Forward calls from callers to services."""
 
-    def __init__(self, parts: CallerParts) -> None:
-        self._parts = parts
+    def __init__(self, context: CallerContext) -> None:
+        self._context = context
 
     async def call(self, request: web.Request) -> web.Response:
-        """Answer one call to a service."""
-        parts = self._parts
-        now = parts.clock.now()
-        admitted = admit(request, parts.configuration, parts.random, now)
+        """Handle one call to a service."""
+        context = self._context
+        now = context.clock.now()
+        admitted = admit(request, context.configuration, context.random, now)
         if isinstance(admitted, Err):
-            return parts.refuse(admitted.err_value, "")
+            return context.refuse(admitted.err_value, "")
         caller = admitted.ok_value
         request_id = caller.name.request_id
-        body = await read_body(request, parts.limits.bodies)
+        body = await read_body(request, context.limits.bodies)
         if isinstance(body, Err):
-            return parts.refuse(body.err_value, request_id)
+            return context.refuse(body.err_value, request_id)
         planned = self._plan(request, caller, body.ok_value)
         if isinstance(planned, Err):
-            return parts.refuse(planned.err_value, request_id)
-        answered = await parts.services.call(planned.ok_value, now)
+            return context.refuse(planned.err_value, request_id)
+        answered = await context.services.call(planned.ok_value, now)
         if isinstance(answered, Err):
-            return parts.refuse(answered.err_value, request_id)
+            return context.refuse(answered.err_value, request_id)
         return _response(answered.ok_value, request_id)
 
     def _plan(
         self, request: web.Request, caller: Caller, body: bytes
     ) -> Result[ServiceRequest, Refusal]:
-        document = self._parts.configuration.document
+        document = self._context.configuration.document
         workspace = caller.workspace.workspace
         service_name, _, raw_path = request.rel_url.raw_path[len(SERVICES_PREFIX) :].partition("/")
         service = document["services"].get(service_name)
         if service is None:
             return Err(Refusal(ErrorKind.NOT_FOUND, "no such service", field="service"))
         if service_name not in workspace["reach"]["services"]:
-            return Err(_out_of_reach())
+            return Err(_service_forbidden())
         path = normalize_path(f"/{raw_path}")
         if isinstance(path, Err):
             return path
@@ -74,7 +74,7 @@
                 service=service_name,
                 method=request.method,
                 path=path_and_query or "/",
-                headers=_headers_to_pass(request),
+                headers=_forwarded_headers(request),
                 body=body,
                 repeatable=is_repeatable(request.method, path.ok_value, service["not_repeatable"]),
                 cost=service["cost"],
@@ -85,12 +85,13 @@
         )
 
 
-def _headers_to_pass(request: web.Request) -> tuple[tuple[str, str], ...]:
-    # The list is closed: the caller's key, cookies and hop-by-hop headers stay here.
+def _forwarded_headers(request: web.Request) -> tuple[tuple[str, str], ...]:
+    # Only listed headers are forwarded, so the caller's key, cookies and hop-by-hop headers are
+    # not.
     return tuple(
         (name, value)
         for name, value in request.headers.items()
-        if name.lower() in _FORWARDED_HEADERS or name.lower().startswith(_PASSED_PREFIX)
+        if name.lower() in _FORWARDED_HEADERS or name.lower().startswith(_FORWARDED_PREFIX)
     )
 
 
@@ -107,5 +108,5 @@
     return response
 
 
-def _out_of_reach() -> Refusal:
+def _service_forbidden() -> Refusal:
     return Refusal(ErrorKind.FORBIDDEN, "the workspace may not call this service", field="service")
--- a/cranberrywall/callers/_streams.py
+++ b/cranberrywall/callers/_streams.py
@@ -1,4 +1,4 @@
-"""Write a run's frames to a caller as server-sent events, at the caller's own speed."""
+"""Sending of a run's frames to a caller as server-sent events, at the caller's speed."""
 
 import asyncio
 
@@ -16,8 +16,9 @@
 async def stream_run(request: web.Request, run: Run, write_timeout_s: float) -> web.StreamResponse:
     """Send the run's frames, then the end mark or an explicit error.
 
-    A caller that takes nothing for ``write_timeout_s`` seconds is cut off. Its run has long left
-    the target: the run reads the target at its own speed.
+    The connection of a caller that accepts no data for ``write_timeout_s`` seconds is closed. A
+    slow caller does not occupy the target, because the run reads the target's answer at its own
+    speed.
     """
     await run.wait_for_frame(0)
     if run.released == 0 and run.refusal is not None:
@@ -28,7 +29,7 @@
     try:
         await _send(response, request.transport, run, write_timeout_s)
     except TimeoutError:
-        # A gentle close would wait for the caller to read what it does not read.
+        # An orderly close would wait for the caller to read the remaining data.
         if request.transport is not None:
             request.transport.abort()
     return response
@@ -61,10 +62,10 @@
     data: bytes,
     write_timeout_s: float,
 ) -> None:
-    # A caller that keeps up has taken all that was written before. Only for others,
-    # where the write may wait, is a limit set: it costs as much as the write.
-    keeps_up = transport is not None and transport.get_write_buffer_size() == 0
-    if keeps_up and len(data) < _SMALL_WRITE_BYTES:
+    # If the write buffer is empty, the caller has accepted all data so far and the write does not
+    # wait. A timeout is set only if the write may wait, because it costs as much as the write.
+    is_drained = transport is not None and transport.get_write_buffer_size() == 0
+    if is_drained and len(data) < _SMALL_WRITE_BYTES:
         await response.write(data)
         return
     async with asyncio.timeout(write_timeout_s):
--- a/cranberrywall/entry/_configured.py
+++ b/cranberrywall/entry/_configured.py
@@ -1,4 +1,4 @@
-"""Read the entry hosts and the policies from the configuration in force."""
+"""Entry hosts and spend policies from the active configuration."""
 
 from collections.abc import Sequence
 
@@ -8,10 +8,10 @@
 
 
 class ConfiguredHosts:
-    """Take every entry host of the configuration as alive; ``Membership`` of a small fleet.
+    """``Membership`` of a small fleet that treats every configured entry host as alive.
 
-    Before there is a configuration, ``peers`` of the settings are known by their streams'
-    addresses only.
+    Before this host has a configuration, it uses ``peers`` from the settings, which have only the
+    addresses of their streams.
     """
 
     def __init__(
@@ -23,20 +23,20 @@
         self._is_leaving = False
 
     def leave(self) -> None:
-        """Stop naming this host."""
+        """Omit this host from the live hosts from now on."""
         self._is_leaving = True
 
     def alive(self) -> Sequence[HostView]:
-        """Return the hosts, this one included unless it is leaving."""
+        """Return the live hosts, including this host unless it is leaving."""
         others = [view for view in self._others() if view.host != self._own.host]
         return others if self._is_leaving else [self._own, *others]
 
     def by_host(self, host: str) -> HostView | None:
-        """Return what is known of one host."""
+        """Return the view of one host, or ``None`` if it is not listed."""
         return next((view for view in self.alive() if view.host == host), None)
 
     def entry_hosts(self) -> Sequence[EntryHost]:
-        """Return all entry hosts of the configuration; none before there is one."""
+        """Return all entry hosts of the configuration; none before this host has one."""
         hosts = self._configuration.document["hosts"]
         return [
             EntryHost(name, host["place"], host["disk"])
@@ -62,32 +62,34 @@
         return configured or self._peers
 
 
-MOST_KNOWN_BUDGETS = 64
-"""Hosts hold shares of budgets before they are asked for where there are no more than this.
+MAX_ASSIGNED_BUDGETS = 64
+"""Maximum number of budgets for which hosts draw allotments before the first request.
 
-Each costs a host two draws after its start, and memory; what is rarely used here would be of more
-use elsewhere."""
+Each budget costs a host memory and two draws after its start. An allotment that is rarely used at
+one host would be more useful at another."""
 
 
 class ConfiguredPolicies:
-    """Look up each workspace's policy."""
+    """Spend policies and budgets of workspaces, from the active configuration."""
 
     def __init__(self, configuration: Configuration) -> None:
         self._configuration = configuration
 
     def spend_policy(self, workspace: str) -> SpendPolicy:
-        """Return the workspace's policy; the default one where it names none."""
+        """Return the workspace's policy, or the default policy if it has none."""
         document = self._configuration.document
-        named = document["workspaces"].get(workspace)
-        policy = document["policies"].get(named["policy"]) if named else None
+        workspace_settings = document["workspaces"].get(workspace)
+        policy = (
+            document["policies"].get(workspace_settings["policy"]) if workspace_settings else None
+        )
         if policy is None:
             return SpendPolicy()
         return SpendPolicy(policy["held_back"], policy["isolated"])
 
     def budget_assignments(self) -> Sequence[BudgetAssignment]:
-        """Return the budgets of the configuration; none where there are many."""
+        """Return the budgets of the configuration, or none if it has too many."""
         document = self._configuration.document
-        if len(document["budgets"]) > MOST_KNOWN_BUDGETS:
+        if len(document["budgets"]) > MAX_ASSIGNED_BUDGETS:
             return ()
         workspace_by_budget = {one["budget"]: name for name, one in document["workspaces"].items()}
         return [
@@ -96,6 +98,6 @@
         ]
 
     def allows_isolated_spend(self) -> bool:
-        """Say whether any workspace's policy lets a host spend that is alone."""
+        """Return whether any policy lets an isolated host spend."""
         policies = self._configuration.document["policies"]
         return any(policy["isolated"] == "spend" for policy in policies.values())
--- a/cranberrywall/entry/_discovered.py
+++ b/cranberrywall/entry/_discovered.py
@@ -1,4 +1,4 @@
-"""Read the entry hosts from membership, where no configuration lists them."""
+"""Entry hosts from membership, for fleets whose configuration does not list them."""
 
 from collections.abc import Sequence
 
@@ -7,16 +7,16 @@
 
 
 class DiscoveredHosts:
-    """List the entry hosts that membership knows, those that are down too.
+    """List the entry hosts that membership tracks, including those that are down.
 
-    A host asks all of these what they keep of its earlier runs, so one that is down must
-    stay in the list for as long as it may come back. Hosts that nobody lists beforehand are
-    taken to be without a disk.
+    A host queries all of them for what they store of its earlier incarnations. A host that is
+    down must therefore stay in the list for as long as it may return. Hosts that no
+    configuration lists are treated as having no disk.
     """
 
     def __init__(self, membership: LiveMembership) -> None:
         self._membership = membership
 
     def entry_hosts(self) -> Sequence[EntryHost]:
-        """Return all entry hosts known."""
+        """Return all entry hosts that membership tracks."""
         return [EntryHost(view.host, view.place, False) for view in self._membership.all()]
--- a/cranberrywall/entry/_front.py
+++ b/cranberrywall/entry/_frontend.py
@@ -1,4 +1,4 @@
-"""Define what serves callers on an entry host, and what it is given to do so."""
+"""Interface of the HTTP frontend of an entry host, and the context that it uses."""
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple, Protocol
@@ -15,13 +15,14 @@
 
 
 class FrontendContext(NamedTuple):
-    """Hold what a front uses of its host once there is a configuration to serve by.
-
-    ``publish`` passes on what a target said at first hand. ``is_current`` says whether no
-    newer configuration than the one in force is known, and control was heard of lately.
-    ``quarantine`` says which requests must not go to targets, ``backoffs`` which
-    targets asked this host for none. ``settle`` is awaited with the
-    present times before a request is decided; see ``StallDetector``.
+    """Components of the host that a frontend uses once the host has a configuration.
+
+    ``publish`` disseminates an announcement that a target sent directly to this host.
+    ``is_current`` returns whether this host has received no report of a configuration newer than
+    the active one, and had contact with a control host recently. ``quarantine`` determines which
+    requests must not be sent to targets. ``backoffs`` tracks the targets that requested that this
+    host send nothing. ``settle`` is awaited with the current monotonic and wall-clock times before
+    a request is decided; see ``StallDetector``.
     """
 
     me: Peer
@@ -43,31 +44,31 @@
 
 
 class Frontend(Protocol):
-    """Serve callers over HTTP."""
+    """HTTP frontend that serves callers."""
 
     @property
     def running(self) -> int:
-        """Return how many requests are in progress."""
+        """Return the number of requests in progress."""
         ...
 
     async def listen(self) -> None:
-        """Bind the addresses as the process starts, or raise ``OSError``."""
+        """Bind the addresses when the process starts; raise ``OSError`` if that fails."""
         ...
 
     async def serve(self, context: FrontendContext) -> None:
-        """Begin to serve: there is a configuration now."""
+        """Start to serve, once the host has a configuration."""
         ...
 
     def start_draining(self) -> None:
-        """Send callers elsewhere; those that still come are served."""
+        """Direct callers to other hosts; requests that still arrive are served."""
         ...
 
     def idle_duration_s(self, now: float) -> float:
-        """Return for how long no request has arrived, in seconds."""
+        """Return the time since the last request arrived, in seconds."""
         ...
 
     async def stop_listening(self) -> None:
-        """Accept no new connection."""
+        """Stop accepting new connections."""
         ...
 
     async def finish(self) -> None:
--- a/cranberrywall/entry/_revisions.py
+++ b/cranberrywall/entry/_revisions.py
@@ -1,4 +1,4 @@
-"""Let revisions of the configuration travel with the membership's heartbeats."""
+"""Dissemination of configuration revisions with the heartbeats of membership."""
 
 from collections.abc import Sequence
 
@@ -10,7 +10,7 @@
 
 
 class LivePeers:
-    """List the hosts that membership knows to be alive; until it knows any, the configured."""
+    """List the hosts that membership tracks as alive, or the configured ones if there are none."""
 
     def __init__(self, own: str, membership: Membership, configured: Membership) -> None:
         self._own = own
@@ -18,7 +18,7 @@
         self._configured = configured
 
     def alive(self) -> Sequence[HostView]:
-        """Return the hosts to spread to."""
+        """Return the hosts to which revisions are sent."""
         live = self._membership.alive()
         if any(view.host != self._own for view in live):
             return live
@@ -28,18 +28,18 @@
 def gossip_revisions(
     gossip: Gossip, configuration: HostConfiguration, follower: Follower, links: str
 ) -> None:
-    """Publish each revision that comes in force here, and follow those of others.
+    """Publish each revision that becomes active here, and follow those that others publish.
 
-    There is one item for the whole fleet, the newest revision with an address to fetch it
-    from, so that what a heartbeat carries does not grow with the number of hosts.
+    The whole fleet shares one item: the newest revision with an address to fetch it from. The
+    size of a heartbeat therefore does not grow with the number of hosts.
     """
 
     def publish(revision: int) -> None:
         gossip.publish(Item(TOPIC, KEY, (revision,), links.encode()))
 
-    def hear(item: Item) -> None:
+    def receive(item: Item) -> None:
         if item.version and item.payload:
             follower.hear(item.version[0], item.payload.decode())
 
-    gossip.subscribe(TOPIC, hear)
+    gossip.subscribe(TOPIC, receive)
     configuration.watch(publish)
--- a/cranberrywall/entry/_stack.py
+++ b/cranberrywall/entry/_stack.py
@@ -1,4 +1,4 @@
-"""Put together the parts that serve callers on one entry host."""
+"""Assembly of the components that serve callers on one entry host."""
 
 from ssl import SSLContext
 from typing import NamedTuple
@@ -10,8 +10,8 @@
 from cranberrywall.budgets import Allotments, make_input_bounds
 from cranberrywall.budgets.messages import Holder
 from cranberrywall.callers import (
+    CallerContext,
     CallerLimits,
-    CallerParts,
     make_caller_routes,
     make_error_middleware,
 )
@@ -44,13 +44,13 @@
 from cranberrywall.targets import TargetConnector
 
 CALLERS_PREFIXES = ("/v1/chat/", "/v1/services/")
-_SERVICE_ANSWER_S = 60.0
-_KEPT_CONNECTIONS = 0
-"""No limit on connections: the router bounds the calls in progress at each target."""
+_SERVICE_TIMEOUT_S = 60.0
+_CONNECTION_LIMIT = 0
+"""No limit on connections, because the router limits the calls in progress at each target."""
 
 
 class StackLinks(NamedTuple):
-    """Hold this host's streams to the other entry hosts; ``address`` is its own."""
+    """This host's streams to the other entry hosts; ``address`` is the host's own."""
 
     address: str
     caller: Caller
@@ -58,11 +58,11 @@
 
 
 class CallerStack:
-    """Serve callers: the application and what runs behind it."""
+    """The callers' web application of an entry host, with its connections and background tasks."""
 
     def __init__(
         self,
-        context: CallerParts,
+        context: CallerContext,
         sessions: tuple[aiohttp.ClientSession, ...],
         background: BackgroundTasks,
     ) -> None:
@@ -71,47 +71,47 @@
         self.context = context
         self._is_draining = False
         self._last_arrival_at = float("-inf")
-        middlewares = [self._make_watch(), make_error_middleware(context)]
+        middlewares = [self._make_arrival_middleware(), make_error_middleware(context)]
         self.app = web.Application(middlewares=middlewares)
         self.app.on_response_prepare.append(self._close_connection)
         self.app.add_routes(make_caller_routes(context))
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        """Return the session that holds this host's connections to targets."""
+        """Return the session with this host's reusable connections to targets."""
         return self._sessions[0]
 
     @property
     def running(self) -> int:
-        """Return how many requests are in progress."""
+        """Return the number of requests in progress."""
         return self.context.chats.running + self.context.services.running
 
     def start_draining(self) -> None:
-        """Ask callers, with each answer, to close their connection after it."""
+        """Close the connection of each caller after its next answer, from now on."""
         self._is_draining = True
 
     def idle_duration_s(self, now: float) -> float:
-        """Return for how long no request has arrived, in seconds."""
+        """Return the time since the last request arrived, in seconds."""
         return now - self._last_arrival_at
 
     async def finish(self) -> None:
-        """Return once no request is in progress and what they left is recorded."""
+        """Return once no request is in progress and the background tasks are done."""
         await self.context.chats.wait_idle()
         await self.context.services.wait_idle()
         await self._background.wait_empty()
 
-    def _make_watch(self) -> Middleware:
+    def _make_arrival_middleware(self) -> Middleware:
         @web.middleware
-        async def watch(request: web.Request, handler: Handler) -> web.StreamResponse:
+        async def record_arrival(request: web.Request, handler: Handler) -> web.StreamResponse:
             if request.path.startswith(CALLERS_PREFIXES):
                 self._last_arrival_at = self.context.clock.now()
             return await handler(request)
 
-        return watch
+        return record_arrival
 
     async def _close_connection(self, request: web.Request, response: web.StreamResponse) -> None:
-        # A connection that stays open could bring a request at the very moment at
-        # which this host closes it.
+        # If the connection stayed open, a request could arrive on it at the moment when this host
+        # closes it.
         if self._is_draining:
             response.force_close()
             response.headers["Connection"] = "close"
@@ -122,7 +122,7 @@
             await session.close()
 
     async def abort(self) -> None:
-        """End everything at once, as a killed process would."""
+        """Abort everything immediately, as if the process were killed."""
         self.context.chats.abort()
         self.context.services.abort()
         self._background.abort()
@@ -149,18 +149,19 @@
     service_limits: ServiceLimits | None = None,
     fetch: SSLContext | None = None,
 ) -> CallerStack:
-    """Return the stack of one entry host; call it in a running event loop.
+    """Return the stack of one entry host; call this in a running event loop.
 
-    ``fetch`` says which certificates of targets with HTTPS are trusted. Without
-    ``links`` the host stands alone: a retry at another one runs again.
+    ``fetch`` is the TLS context that verifies the certificates of targets with HTTPS. Without
+    ``links``, the host does not coordinate with others: if a caller retries a request at another
+    host, it runs again.
     """
-    counts = RequestMetrics(metrics or make_metrics())
+    request_metrics = RequestMetrics(metrics or make_metrics())
     background = BackgroundTasks()
     session = _make_session(fetch, reuse=True)
-    once_session = _make_session(fetch, reuse=False)
+    unpooled_session = _make_session(fetch, reuse=False)
     engine_limits = engine_limits or EngineLimits()
     attempts = Attempts(
-        router, session, clock, random, counts, engine_limits, background, quarantine
+        router, session, clock, random, request_metrics, engine_limits, background, quarantine
     )
     bounds = make_input_bounds()
     registry = None
@@ -168,11 +169,11 @@
         own = Owner(host, incarnation, links.address)
         registry = Registry(own, membership, links.caller, clock, background)
     chats = ChatRuns(
-        ChatRunner(allotments, attempts, bounds, clock, counts, background, quarantine),
+        ChatRunner(allotments, attempts, bounds, clock, request_metrics, background, quarantine),
         registry,
         links.caller if links is not None else None,
         clock,
-        counts,
+        request_metrics,
         run_limits or RunLimits(),
         background,
     )
@@ -182,17 +183,19 @@
     runner = ServiceRunner(
         allotments,
         router,
-        ServiceClient(session, once_session, counts, engine_limits.connect_timeout_s),
+        ServiceClient(session, unpooled_session, request_metrics, engine_limits.connect_timeout_s),
         Intents(intents, Holder(host, incarnation), membership, clock, background),
-        Witnesses(registry, lambda: _count_missing(configuration, membership)),
+        Witnesses(registry, lambda: _count_missing_hosts(configuration, membership)),
         clock,
         random,
-        counts,
-        _SERVICE_ANSWER_S,
+        request_metrics,
+        _SERVICE_TIMEOUT_S,
         quarantine,
     )
-    services = ServiceCalls(runner, clock, counts, service_limits or ServiceLimits(), background)
-    context = CallerParts(
+    services = ServiceCalls(
+        runner, clock, request_metrics, service_limits or ServiceLimits(), background
+    )
+    context = CallerContext(
         host,
         place,
         configuration,
@@ -202,21 +205,21 @@
         bounds,
         clock,
         random,
-        counts,
+        request_metrics,
         caller_limits or CallerLimits(),
     )
-    return CallerStack(context, (session, once_session), background)
+    return CallerStack(context, (session, unpooled_session), background)
 
 
 def _make_session(fetch: SSLContext | None, reuse: bool) -> aiohttp.ClientSession:
-    # Without a context the system's authorities are trusted.
-    connector = TargetConnector(limit=_KEPT_CONNECTIONS, force_close=not reuse, ssl=fetch or True)
+    # Without a TLS context, the certificate authorities of the system are trusted.
+    connector = TargetConnector(limit=_CONNECTION_LIMIT, force_close=not reuse, ssl=fetch or True)
     return aiohttp.ClientSession(
         connector=connector, cookie_jar=aiohttp.DummyCookieJar(), auto_decompress=False
     )
 
 
-def _count_missing(configuration: Configuration, membership: Membership) -> int:
+def _count_missing_hosts(configuration: Configuration, membership: Membership) -> int:
     alive = {view.host for view in membership.alive()}
     hosts = configuration.document["hosts"]
     return sum("entry" in host["roles"] and name not in alive for name, host in hosts.items())
--- a/cranberrywall/errors/__init__.py
+++ b/cranberrywall/errors/__init__.py
@@ -1,4 +1,4 @@
-"""Name every way in which the system declines or fails, once."""
+"""Kinds of errors, and the answer that callers receive for each kind."""
 
 from cranberrywall.errors._kinds import ErrorKind, Ran
 from cranberrywall.errors._reference import render_reference
--- a/cranberrywall/errors/_kinds.py
+++ b/cranberrywall/errors/_kinds.py
@@ -1,10 +1,10 @@
-"""Close the list of error kinds."""
+"""Enumeration of all error kinds."""
 
 from enum import StrEnum
 
 
 class Ran(StrEnum):
-    """Say whether the request reached a target before it failed."""
+    """Whether the request reached a target before it failed."""
 
     NO = "no"
     YES = "yes"
@@ -12,7 +12,7 @@
 
 
 class ErrorKind(StrEnum):
-    """List every error kind; the value is the code that callers see."""
+    """Kinds of errors; the value is the error code in answers to callers."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
--- a/cranberrywall/errors/_refusal.py
+++ b/cranberrywall/errors/_refusal.py
@@ -1,4 +1,4 @@
-"""Carry one error through ``result.Err``."""
+"""Error value for ``result.Err``."""
 
 from typing import NamedTuple
 
@@ -6,11 +6,11 @@
 
 
 class Refusal(NamedTuple):
-    """Hold an error kind with what a person needs to act on it.
+    """Error kind with the information that a person needs to resolve the error.
 
-    ``field`` names the input at fault and ``remedy`` what to do about it; both are
-    empty where there is none. ``retry_after`` is in seconds; ``None`` takes the
-    kind's own value from the table.
+    ``field`` is the name of the invalid input, and ``remedy`` is what to do about it; both may be
+    empty. ``retry_after`` is in seconds; if it is ``None``, the value of the kind in the table
+    applies.
     """
 
     kind: ErrorKind
@@ -20,7 +20,7 @@
     retry_after: float | None = None
 
     def __str__(self) -> str:
-        """Return the refusal as one line.
+        """Return the refusal as a single line.
 
         >>> str(Refusal(ErrorKind.BAD_REQUEST, "must be positive", "amount", "give at least 1"))
         'bad_request: amount: must be positive (remedy: give at least 1)'
--- a/cranberrywall/errors/_table.py
+++ b/cranberrywall/errors/_table.py
@@ -1,4 +1,4 @@
-"""Map each error kind to the one answer that callers get for it."""
+"""Table of the HTTP answer for each error kind."""
 
 from typing import NamedTuple
 
@@ -7,11 +7,10 @@
 
 
 class Answer(NamedTuple):
-    """Describe the HTTP answer for a kind.
+    """HTTP answer for an error kind.
 
-    ``retry_safe`` is true where sending the same request again can neither run it
-    twice nor bill it twice. ``retry_after`` is in seconds, ``None`` where coming back
-    later does not help.
+    ``retry_safe`` is true if sending the same request again can neither run it twice nor bill it
+    twice. ``retry_after`` is in seconds, or ``None`` if a later retry does not help.
     """
 
     status: int
@@ -59,7 +58,7 @@
 
 
 def answer_for(refusal: Refusal) -> Answer:
-    """Return the answer for a refusal, with the refusal's own time to come back."""
+    """Return the answer for a refusal, with the refusal's own ``retry_after`` if it is set."""
     answer = TABLE[refusal.kind]
     if refusal.retry_after is None:
         return answer
--- a/cranberrywall/forwarding/__init__.py
+++ b/cranberrywall/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Forward callers' requests to targets unchanged, by routes, within budgets."""
+"""Forwarding of callers' requests to targets, unchanged, according to routes and budgets."""
 
 from cranberrywall.forwarding._forwarder import Forwarder
 from cranberrywall.forwarding._interfaces import (
--- /dev/null
+++ b/cranberrywall/forwarding/_attempt_record.py
@@ -0,0 +1,90 @@
+"""Record of an attempt's end, shared by calls and streams."""
+
+import asyncio
+from collections.abc import Iterator
+from contextlib import contextmanager
+
+from cranberrywall.forwarding._attempts import outcome_of, record_head
+from cranberrywall.forwarding._billing import RequestFunds
+from cranberrywall.forwarding._client import DID_NOT_RUN, AttemptFailedError, FailureKind
+from cranberrywall.forwarding._interfaces import Attempt
+from cranberrywall.quarantine import Run, RunEnd, RunTracker, stoppable
+from cranberrywall.routing import Outcome, OutcomeKind, Slot
+from cranberrywall.runtime import Clock
+
+
+class AttemptRecord:
+    """Record how an attempt ends.
+
+    Until an end is recorded, the attempt counts as cancelled and abandoned.
+    """
+
+    def __init__(self, run: Run) -> None:
+        self.run = run
+        self.outcome = Outcome(OutcomeKind.CANCELLED)
+        self.end = RunEnd.GIVEN_UP
+
+    def time_limit(self, seconds: float) -> asyncio.Timeout:
+        """Return the timeout of the attempt; it also expires once the request is quarantined."""
+        return stoppable(self.run, seconds)
+
+    def record_answer_started(self, now: float) -> None:
+        """Record that the target started to answer."""
+        self.run.answered_at = now
+
+    def record_complete(self, outcome: Outcome) -> None:
+        """Record that the target's answer is complete."""
+        self.outcome = outcome
+        is_served = outcome.kind is OutcomeKind.ANSWERED
+        self.end = RunEnd.WHOLE if is_served else RunEnd.NOT_SERVED
+
+    def record_failure(self, failure: AttemptFailedError, now: float) -> None:
+        """Record how the attempt failed, and set ``answered_s`` of the failure."""
+        failure.answered_s = self.run.answered_s(now)
+        self.outcome = outcome_of(failure)
+        if failure.kind in DID_NOT_RUN:
+            self.end = RunEnd.NOT_SERVED
+        elif failure.kind is FailureKind.BROKEN:
+            self.end = RunEnd.BROKEN
+
+
+@contextmanager
+def recorded_attempt(
+    slot: Slot, attempt: Attempt, funds: RequestFunds, tracker: RunTracker, clock: Clock
+) -> Iterator[AttemptRecord]:
+    """Charge the request's input from now on; free the slot with the outcome at the end.
+
+    A timeout in the block is converted to an ``AttemptFailedError``. If the target did not run
+    the request, its input is not charged.
+    """
+    arrival = attempt.arrival
+    run = tracker.begin(
+        arrival.request_id, slot.target_id, attempt.fingerprint, attempt.is_streamed
+    )
+    record = AttemptRecord(run)
+    funds.record_sent()
+    try:
+        yield record
+    except TimeoutError as error:
+        failure = _timed_out(run, attempt)
+        record.record_failure(failure, clock.now())
+        raise failure from error
+    except AttemptFailedError as failure:
+        if failure.kind in DID_NOT_RUN:
+            funds.record_not_run()
+        if failure.head is not None:
+            record_head(slot, failure.head, arrival.request_id, clock.now())
+        record.record_failure(failure, clock.now())
+        raise
+    finally:
+        now = clock.now()
+        tracker.finish(run, record.end, slot.url, now)
+        slot.finish(record.outcome, now)
+
+
+def _timed_out(run: Run, attempt: Attempt) -> AttemptFailedError:
+    if run.is_stopped:
+        return AttemptFailedError(FailureKind.STOPPED, "the request is quarantined")
+    return AttemptFailedError(
+        FailureKind.LATE, f"no complete answer within {attempt.remaining_s:.3f} s"
+    )
--- a/cranberrywall/forwarding/_attempts.py
+++ b/cranberrywall/forwarding/_attempts.py
@@ -1,4 +1,4 @@
-"""Find a target for each attempt of one request, and say when there may be another."""
+"""Selection of a target for each attempt of a request, and the rules for further attempts."""
 
 from result import Err, Ok, Result
 
@@ -16,24 +16,26 @@
 from cranberrywall.routing import Demand, Outcome, OutcomeKind, Router, Slot
 from cranberrywall.runtime import Clock
 
-LEAST_LEFT_S = 0.03
-"""An attempt that has less time than this is not begun, in seconds: no target answers in it."""
+MIN_ATTEMPT_TIME_S = 0.03
+"""Minimum time for an attempt, in seconds. No target answers within less, so none is started."""
 
-MOST_UNSENT = 3
-"""Targets that may turn out to take no connection, besides the route's attempts.
+MAX_UNSENT_ATTEMPTS = 3
+"""Maximum number of targets that accept no connection, in addition to the route's attempts.
 
-More of them in a row are rather a fault of this host's own network."""
+If more fail in a row, the network of this host is the more likely cause."""
 
 DEADLINE_MARGIN_S = 0.005
-"""A target is given this much less than the caller waits, for the way back, in seconds."""
+"""Difference between the caller's deadline and the target's, in seconds.
+
+The answer needs this time to travel back to the caller."""
 
 
 class Attempts:
-    """Count the attempts of one request, over all targets.
+    """Track the attempts of one request at all targets.
 
-    ``may_have_run`` says whether any of them may have run it: a refusal must then not promise
-    that it did not. ``sent`` counts the targets that a byte may have gone to, ``targets`` names
-    all that were tried.
+    ``may_have_run`` is true if any target may have run the request. A refusal must then not
+    promise that the request did not run. ``sent_count`` is the number of targets that may have
+    received a byte of the request; ``targets`` lists all targets that were tried.
     """
 
     def __init__(
@@ -42,28 +44,31 @@
         self.arrival = arrival
         self.plan = plan
         self.may_have_run = False
-        self.sent = 0
+        self.sent_count = 0
         self.targets: list[str] = []
-        self.last: AttemptFailedError | None = None
+        self.last_failure: AttemptFailedError | None = None
         self._router = router
         self._quarantine = quarantine
         self._clock = clock
         self._blocks = blocks_of(arrival.generation.parts) if arrival.generation else ()
 
-    def may_go_on(self) -> bool:
-        """Say whether another target may be tried after a failure."""
-        if self.sent >= self.plan.route["attempts"] or self.remaining_s() < LEAST_LEFT_S:
+    def can_try_another_target(self) -> bool:
+        """Return whether another target may be tried after a failure."""
+        if (
+            self.sent_count >= self.plan.route["attempts"]
+            or self.remaining_s() < MIN_ATTEMPT_TIME_S
+        ):
             return False
-        if len(self.targets) >= self.plan.route["attempts"] + MOST_UNSENT:
+        if len(self.targets) >= self.plan.route["attempts"] + MAX_UNSENT_ATTEMPTS:
             return False
-        return self.plan.repeats.may_run_again or not self.may_have_run
+        return self.plan.repeat_rules.may_run_again or not self.may_have_run
 
     def remaining_s(self) -> float:
         """Return the time until the deadline, in seconds."""
         return self.plan.deadline - self._clock.now()
 
     async def acquire(self) -> Result[Slot, Refusal]:
-        """Wait for a place at a target that was not tried; refuse a request that is held back."""
+        """Wait for a slot at a target that was not tried yet; refuse a quarantined request."""
         plan, generation = self.plan, self.arrival.generation
         demand = Demand(
             workspace="",
@@ -78,22 +83,22 @@
             affinity_hash=self._blocks[-1] if self._blocks else b"",
             exclude=frozenset(self.targets),
             caller=plan.workspace,
-            retry=self.sent > 0,
-            is_resend=self.sent == 0 and bool(self.targets),
+            retry=self.sent_count > 0,
+            is_resend=self.sent_count == 0 and bool(self.targets),
         )
         acquired = await self._router.acquire(demand, self._clock.now())
-        # It may have been held back while it waited, or for what its last attempt did.
+        # The request may have been quarantined while it waited, or because of its last attempt.
         now = self._clock.now()
-        held = self._quarantine.check(plan.fingerprint, now)
-        if held is None:
+        quarantine_refusal = self._quarantine.check(plan.fingerprint, now)
+        if quarantine_refusal is None:
             return acquired
         if isinstance(acquired, Ok):
             acquired.ok_value.finish(Outcome(OutcomeKind.CANCELLED), now)
-        return Err(held)
+        return Err(quarantine_refusal)
 
     def begin(self, slot: Slot, last_event: int | None) -> Attempt:
-        """Note that the request goes to the slot's target now, and return the attempt."""
-        self.sent += 1
+        """Record that the request is now sent to the slot's target, and return the attempt."""
+        self.sent_count += 1
         self.targets.append(slot.target_id)
         remaining_s = max(0.0, self.remaining_s() - DEADLINE_MARGIN_S)
         plan = self.plan
@@ -105,17 +110,18 @@
             plan.rank,
             last_event,
             plan.fingerprint,
-            plan.repeats.is_stream,
+            plan.repeat_rules.is_stream,
         )
 
-    def note_failure(self, failure: AttemptFailedError) -> None:
-        """Take in how an attempt failed."""
-        self.last = failure
+    def record_failure(self, failure: AttemptFailedError) -> None:
+        """Record and log how an attempt failed."""
+        self.last_failure = failure
         if failure.kind not in DID_NOT_RUN:
             self.may_have_run = True
         if failure.kind is FailureKind.UNSENT:
-            # A target that takes no connection got nothing: a route with one attempt still has it.
-            self.sent -= 1
+            # The target accepted no connection and received nothing, so the attempt does not count
+            # against the route's limit. A route with one attempt can still use it.
+            self.sent_count -= 1
         log_event(
             "WARNING",
             "attempt_failed",
@@ -131,20 +137,23 @@
         )
 
     def refusal(self, refused: Refusal | None = None) -> Refusal:
-        """Return what is true to say where no attempt gave an answer."""
-        message = str(self.last or "")
-        if self.may_have_run and not self.plan.repeats.may_run_again:
+        """Return the refusal for a request that no attempt answered.
+
+        The refusal states whether the request may have run.
+        """
+        message = str(self.last_failure or "")
+        if self.may_have_run and not self.plan.repeat_rules.may_run_again:
             return Refusal(ErrorKind.OUTCOME_UNKNOWN, message)
         if self.may_have_run:
-            late = self.last is not None and self.last.kind is FailureKind.LATE
+            late = self.last_failure is not None and self.last_failure.kind is FailureKind.LATE
             return Refusal(ErrorKind.TIMEOUT if late else ErrorKind.TARGET_FAILED, message)
         if refused is not None:
             return refused
         return Refusal(ErrorKind.NOT_RUN, message)
 
 
-def note_head(slot: Slot, head: TargetHead, request_id: str, now: float) -> None:
-    """Pass on what an answer's head says of its target."""
+def record_head(slot: Slot, head: TargetHead, request_id: str, now: float) -> None:
+    """Report to the router the load, rate, backoff and leaving state from an answer's head."""
     load = head.load
     if load is not None:
         slot.record_load(load.running, load.waiting, now)
@@ -155,7 +164,7 @@
 
 
 def outcome_of(failure: AttemptFailedError) -> Outcome:
-    """Return what the router should learn from a failed attempt."""
+    """Return the outcome of a failed attempt to report to the router."""
     if failure.kind is FailureKind.UNSENT:
         return Outcome(OutcomeKind.FAILED_BEFORE)
     return Outcome(OutcomeKind.FAILED_AFTER)
--- a/cranberrywall/forwarding/_calls.py
+++ b/cranberrywall/forwarding/_calls.py
@@ -1,28 +1,28 @@
-"""Forward a call whose answer is read whole before it goes to the caller."""
+"""Forwarding of calls whose answer is read completely before it is sent to the caller."""
 
 from typing import NamedTuple
 
 from result import Err, Ok, Result
 
 from cranberrywall.errors import Refusal
-from cranberrywall.forwarding._attempts import Attempts, note_head
+from cranberrywall.forwarding._attempt_record import recorded_attempt
+from cranberrywall.forwarding._attempts import Attempts, record_head
+from cranberrywall.forwarding._billing import RequestFunds
 from cranberrywall.forwarding._client import (
     AttemptFailedError,
     TargetClient,
-    read_whole,
+    read_full_body,
 )
-from cranberrywall.forwarding._conclusion import concluding
 from cranberrywall.forwarding._interfaces import Headers
-from cranberrywall.forwarding._money import RequestFunds
 from cranberrywall.quarantine import RunTracker
 from cranberrywall.routing import Outcome, OutcomeKind, Slot
 from cranberrywall.runtime import Clock
 
-FAILED_FROM_STATUS = 500
+MIN_FAILURE_STATUS = 500
 
 
 class CompleteAnswer(NamedTuple):
-    """Hold a target's answer as it goes to the caller."""
+    """Answer of a target in the form that is sent to the caller."""
 
     status: int
     headers: Headers
@@ -30,54 +30,55 @@
 
 
 class CallForwarder:
-    """Try targets until one answers."""
+    """Send a call to one target after another until one answers."""
 
     def __init__(self, client: TargetClient, tracker: RunTracker, clock: Clock) -> None:
         self._client = client
         self._tracker = tracker
         self._clock = clock
 
-    async def run(self, attempts: Attempts, purse: RequestFunds) -> Result[CompleteAnswer, Refusal]:
-        """Return a target's own answer, or a refusal that is true of whether the call ran.
+    async def run(self, attempts: Attempts, funds: RequestFunds) -> Result[CompleteAnswer, Refusal]:
+        """Return a target's answer, or a refusal that states whether the call may have run.
 
-        A target's own failure is an answer: it is tried again elsewhere where the call may be
-        repeated, and goes to the caller as it is where no other target has a better one.
+        If a target answers with an error status and the call may be repeated, another target is
+        tried. If no other target gives a better answer, the caller receives the error answer
+        unchanged.
         """
         failed: CompleteAnswer | None = None
         while True:
-            begun = await purse.begin(attempts.remaining_s())
-            if isinstance(begun, Err):
-                return Err(attempts.refusal(begun.err_value))
+            charged = await funds.begin(attempts.remaining_s())
+            if isinstance(charged, Err):
+                return Err(attempts.refusal(charged.err_value))
             acquired = await attempts.acquire()
             if isinstance(acquired, Err):
                 return Ok(failed) if failed else Err(attempts.refusal(acquired.err_value))
             try:
-                answer = await self._attempt(attempts, acquired.ok_value, purse)
+                answer = await self._attempt(attempts, acquired.ok_value, funds)
             except AttemptFailedError as failure:
-                attempts.note_failure(failure)
+                attempts.record_failure(failure)
             else:
-                if answer.status < FAILED_FROM_STATUS:
+                if answer.status < MIN_FAILURE_STATUS:
                     return Ok(answer)
                 failed = answer
                 attempts.may_have_run = True
-            if not attempts.may_go_on():
+            if not attempts.can_try_another_target():
                 return Ok(failed) if failed else Err(attempts.refusal())
 
-    async def _attempt(self, attempts: Attempts, slot: Slot, purse: RequestFunds) -> CompleteAnswer:
+    async def _attempt(self, attempts: Attempts, slot: Slot, funds: RequestFunds) -> CompleteAnswer:
         started_at = self._clock.now()
         attempt = attempts.begin(slot, None)
-        may_run_again = attempts.plan.repeats.may_run_again
-        with concluding(slot, attempt, purse, self._tracker, self._clock) as conclusion:
+        may_run_again = attempts.plan.repeat_rules.may_run_again
+        with recorded_attempt(slot, attempt, funds, self._tracker, self._clock) as record:
             async with (
-                conclusion.limit(attempt.remaining_s),
+                record.time_limit(attempt.remaining_s),
                 self._client.open(slot, attempt, may_run_again) as answer,
             ):
-                conclusion.answered(self._clock.now())
-                note_head(slot, answer.head, attempt.arrival.request_id, self._clock.now())
-                body = await read_whole(answer)
-            is_failure = answer.status >= FAILED_FROM_STATUS
+                record.record_answer_started(self._clock.now())
+                record_head(slot, answer.head, attempt.arrival.request_id, self._clock.now())
+                body = await read_full_body(answer)
+            is_failure = answer.status >= MIN_FAILURE_STATUS
             if not is_failure:
-                purse.note_whole_answer()
+                funds.record_complete_answer()
             kind = OutcomeKind.FAILED_AFTER if is_failure else OutcomeKind.ANSWERED
-            conclusion.is_whole(Outcome(kind, self._clock.now() - started_at))
+            record.record_complete(Outcome(kind, self._clock.now() - started_at))
             return CompleteAnswer(answer.status, answer.headers, body)
--- a/cranberrywall/forwarding/_client.py
+++ b/cranberrywall/forwarding/_client.py
@@ -1,4 +1,4 @@
-"""Send one attempt to a target over HTTP, and tell truly what became of it."""
+"""HTTP client that sends one attempt to a target and reports its exact outcome."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -10,28 +10,30 @@
 from multidict import CIMultiDict
 from yarl import URL
 
-from cranberrywall.forwarding._endings import EndingResponse
 from cranberrywall.forwarding._interfaces import Attempt, Dialect, Headers, TargetHead
+from cranberrywall.forwarding._responses import ResetAwareResponse
 from cranberrywall.routing import Slot
 from cranberrywall.targets import TargetConnector, TargetWithdrawnError, while_offered
 
-CONNECT_S = 0.6
-"""A target that takes no connection within this is left alone, in seconds.
+CONNECT_TIMEOUT_S = 0.6
+"""Timeout for connecting to a target, in seconds.
 
-Targets stand a few milliseconds away, and one that is gone does not answer at all. A lost
-opening packet is sent again after a second, which a caller's time seldom allows for."""
+Targets are a few milliseconds away, and a target that has stopped does not answer at all. TCP
+retransmits a lost SYN packet after a second, and callers seldom allow that much time."""
 
-KEPT_S = 4.0
-"""Idle connections to targets are closed after this, before the targets close them, in seconds."""
+IDLE_CONNECTION_TTL_S = 4.0
+"""Time after which idle connections to targets are closed, in seconds.
 
-MOST_BYTES = 16 * 1024 * 1024
-"""The most bytes of a whole answer that are held."""
+It is shorter than the time after which targets close them."""
 
-_HOP_HEADERS = frozenset(
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
+"""Maximum size of an answer that is buffered in memory."""
+
+_HOP_BY_HOP_HEADERS = frozenset(
     {"connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding"}
     | {"upgrade"}
 )
-_ADDED_BY_LIBRARY = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+_AUTOMATIC_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 _UNSENT_ERRORS = (
@@ -39,17 +41,18 @@
     aiohttp.ConnectionTimeoutError,
     TargetWithdrawnError,
 )
-"""Errors that come before the first byte went out."""
+"""Errors that occur before the first byte of the request is sent."""
 
 
 class FailureKind(StrEnum):
-    """Say how an attempt came to no answer.
+    """Reasons why an attempt has no answer.
+
+    ``UNSENT``: no byte of the request was sent. ``NOT_RUN``: the target reports that it did not
+    run the request. ``WRONG_TARGET``: another target has the address and ran nothing.
 
-    ``UNSENT``: no byte of the request went out. ``NOT_RUN``: the target says that it did not
-    run it. ``WRONG_TARGET``: another target has the address, and ran nothing. After the others the
-    request may have run: ``BROKEN`` connections, ``CROSSED`` answers to another request, ``LATE``
-    ones that did not come in time, and attempts that this host ``STOPPED``, as the request is held
-    back from now on.
+    With the other kinds, the request may have run. ``BROKEN``: the connection broke.
+    ``CROSSED``: the answer belongs to another request. ``LATE``: no complete answer arrived in
+    time. ``STOPPED``: this host stopped the attempt because the request is now quarantined.
     """
 
     UNSENT = "unsent"
@@ -65,10 +68,10 @@
 
 
 class AttemptFailedError(Exception):
-    """Report an attempt without an answer.
+    """Raised when an attempt ends without an answer.
 
-    ``answered_s`` is for how long the target had begun to answer, in seconds; ``None`` where it
-    had not. ``head`` is what the target's answer said of the target, where it gave one.
+    ``answered_s`` is the time since the target started to answer, in seconds; ``None`` if it had
+    not started. ``head`` is the head of the target's answer, if it sent one.
     """
 
     def __init__(self, kind: FailureKind, message: str, head: TargetHead | None = None) -> None:
@@ -80,20 +83,20 @@
 
 
 class TargetAnswer(NamedTuple):
-    """Hold the head of a target's answer; ``headers`` are those that go on to the caller."""
+    """Head of a target's answer; ``headers`` are those that are forwarded to the caller."""
 
     status: int
     headers: Headers
     head: TargetHead
-    response: EndingResponse
+    response: ResetAwareResponse
 
 
 class _ConnectionLostError(Exception):
-    """Report a lost connection by a type of its own.
+    """Raised in place of aiohttp's errors for lost connections.
 
-    The library sends idempotent methods again by itself where a kept connection turns out to
-    be closed. That second sending would be counted by nobody; errors that it does not know
-    come through.
+    If a reused connection turns out to be closed, aiohttp sends requests with idempotent methods
+    again by itself, and this second sending is not counted as an attempt. aiohttp does not retry
+    after an error of a type that it does not recognize.
     """
 
 
@@ -108,49 +111,52 @@
         raise _ConnectionLostError(f"{type(error).__name__}: {error}") from error
 
 
-def make_session(*, keeps_connections: bool) -> aiohttp.ClientSession:
+def make_session(*, reuses_connections: bool) -> aiohttp.ClientSession:
     """Return a session for attempts; call it in a running event loop."""
-    if keeps_connections:
-        connector = TargetConnector(limit=0, keepalive_timeout=KEPT_S)
+    if reuses_connections:
+        connector = TargetConnector(limit=0, keepalive_timeout=IDLE_CONNECTION_TTL_S)
     else:
         connector = TargetConnector(limit=0, force_close=True)
     return aiohttp.ClientSession(
         connector=connector,
         cookie_jar=aiohttp.DummyCookieJar(),
         auto_decompress=False,
-        skip_auto_headers=_ADDED_BY_LIBRARY,
+        skip_auto_headers=_AUTOMATIC_HEADERS,
         middlewares=(_report_lost_connections,),
-        response_class=EndingResponse,
-        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S),
+        response_class=ResetAwareResponse,
+        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
     )
 
 
 class TargetClient:
-    """Send attempts, on kept connections only where a second sending does no harm.
+    """Send attempts, on reused connections only if the request may safely be sent twice.
 
-    A kept connection may be closed by the target in the moment in which a request goes out.
-    Nobody can tell then whether it ran, so that one which runs at most once would be lost.
+    A target may close an idle connection at the moment when a request is sent on it. It is then
+    unknown whether the request ran, so a request that may run at most once would be lost.
     """
 
     def __init__(
-        self, kept: aiohttp.ClientSession, fresh: aiohttp.ClientSession, dialect: Dialect
+        self,
+        pooled_session: aiohttp.ClientSession,
+        unpooled_session: aiohttp.ClientSession,
+        dialect: Dialect,
     ) -> None:
-        self._kept = kept
-        self._fresh = fresh
+        self._pooled_session = pooled_session
+        self._unpooled_session = unpooled_session
         self._dialect = dialect
 
     @asynccontextmanager
     async def open(
         self, slot: Slot, attempt: Attempt, may_run_again: bool
     ) -> AsyncIterator[TargetAnswer]:
-        """Send an attempt to the slot's target and give the head of its answer.
+        """Send an attempt to the slot's target and yield the head of its answer.
 
-        Raise ``AttemptFailedError`` where there is none.
+        Raise ``AttemptFailedError`` if there is no answer.
 
-        Leaving the block before the body was read ends the connection, which frees the target.
-        Errors of reading the body in the block become ``AttemptFailedError`` too.
+        Leaving the block before the body was read closes the connection, which frees the target.
+        Errors while the block reads the body are converted to ``AttemptFailedError`` as well.
         """
-        session = self._kept if may_run_again else self._fresh
+        session = self._pooled_session if may_run_again else self._unpooled_session
         arrival = attempt.arrival
         try:
             with while_offered(lambda: slot.is_offered):
@@ -162,7 +168,7 @@
                     allow_redirects=False,
                 )
             async with response:
-                assert isinstance(response, EndingResponse)
+                assert isinstance(response, ResetAwareResponse)
                 yield self._check(arrival.request_id, response)
         except _UNSENT_ERRORS as error:
             raise AttemptFailedError(FailureKind.UNSENT, str(error)) from error
@@ -170,31 +176,37 @@
             message = f"{type(error).__name__}: {error}"
             raise AttemptFailedError(FailureKind.BROKEN, message) from error
 
-    def _check(self, request_id: str, response: EndingResponse) -> TargetAnswer:
-        """Return the head of the answer where it is one to this request.
+    def _check(self, request_id: str, response: ResetAwareResponse) -> TargetAnswer:
+        """Return the head of the answer if the answer belongs to this request.
 
-        A target may send an answer twice, and the second then stands where the next one is
-        expected. Only the id in it tells.
+        If a target sends an answer twice, the second copy arrives in place of the answer to the
+        next request. Only the request id in the answer reveals this.
         """
         headers = tuple((str(name), value) for name, value in response.headers.items())
         head = self._dialect.read_head(response.status, headers)
         reports_not_run = head.is_wrong_target or head.not_run
         if head.request_id != request_id and (head.request_id or not reports_not_run):
             response.close()
-            raise AttemptFailedError(FailureKind.CROSSED, f"answers {head.request_id!r}")
+            raise AttemptFailedError(
+                FailureKind.CROSSED, f"answers {head.request_id!r} instead of this request"
+            )
         if head.is_wrong_target:
             raise AttemptFailedError(FailureKind.WRONG_TARGET, "another target has the address")
         if head.not_run:
             raise AttemptFailedError(FailureKind.NOT_RUN, f"answered {response.status}", head)
-        passed_on = tuple(pair for pair in headers if pair[0].lower() not in _HOP_HEADERS)
-        return TargetAnswer(response.status, passed_on, head, response)
+        forwarded_headers = tuple(
+            pair for pair in headers if pair[0].lower() not in _HOP_BY_HOP_HEADERS
+        )
+        return TargetAnswer(response.status, forwarded_headers, head, response)
 
 
-async def read_whole(answer: TargetAnswer) -> bytes:
-    """Return the body of an answer, or raise ``AttemptFailedError`` where it is too large."""
+async def read_full_body(answer: TargetAnswer) -> bytes:
+    """Return the body of an answer, or raise ``AttemptFailedError`` if it is too large."""
     body = bytearray()
     async for chunk in answer.response.chunks():
         body += chunk
-        if len(body) > MOST_BYTES:
-            raise AttemptFailedError(FailureKind.BROKEN, f"an answer of over {MOST_BYTES} bytes")
+        if len(body) > MAX_ANSWER_BYTES:
+            raise AttemptFailedError(
+                FailureKind.BROKEN, f"the answer exceeds {MAX_ANSWER_BYTES} bytes"
+            )
     return bytes(body)
--- a/cranberrywall/forwarding/_events.py
+++ b/cranberrywall/forwarding/_events.py
@@ -1,36 +1,36 @@
-"""Cut an event stream into whole events, without changing a byte of them."""
+"""Splitter of an event stream into complete events; it changes no byte of them."""
 
 from typing import NamedTuple
 
-_ENDS = (b"\n\n", b"\r\n\r\n")
-MOST_BYTES = 1024 * 1024
-"""An event larger than this is taken for a stream of garbage, in bytes."""
+_EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
+MAX_EVENT_BYTES = 1024 * 1024
+"""Maximum size of an event; a larger one means that the stream is malformed."""
 
 
 class Event(NamedTuple):
-    """Hold one event as it was sent; ``number`` is its id, ``None`` without one."""
+    """One event as it was sent; ``number`` is its id, or ``None`` if it has none."""
 
     data: bytes
     number: int | None
 
 
 class EventSplitter:
-    """Collect bytes and give out the events that are whole.
+    """Collect bytes and return complete events.
 
-    A target may stop in the middle of an event. What it sent of that event must not reach the
-    caller: another target sends the whole event again.
+    A target may stop in the middle of an event. The incomplete part must not reach the caller,
+    because another target sends the complete event again.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
-        """Return the bytes behind the last whole event."""
-        return self._rest
+    def remainder(self) -> bytes:
+        """Return the bytes after the last complete event."""
+        return self._remainder
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that ``data`` completes; raise ``ValueError`` for a huge one.
+        """Return the events that ``data`` completes; raise ``ValueError`` if one is too large.
 
         >>> splitter = EventSplitter()
         >>> splitter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda")
@@ -38,17 +38,21 @@
         >>> splitter.feed(b"ta: b\\n\\n")
         [Event(data=b'id: 2\\ndata: b\\n\\n', number=2)]
         """
-        self._rest += data
+        self._remainder += data
         events = []
         while (end := self._find_end()) > 0:
-            whole, self._rest = self._rest[:end], self._rest[end:]
-            events.append(Event(whole, _number_of(whole)))
-        if len(self._rest) > MOST_BYTES:
-            raise ValueError(f"an event of over {MOST_BYTES} bytes")
+            complete, self._remainder = self._remainder[:end], self._remainder[end:]
+            events.append(Event(complete, _number_of(complete)))
+        if len(self._remainder) > MAX_EVENT_BYTES:
+            raise ValueError(f"an event exceeds {MAX_EVENT_BYTES} bytes")
         return events
 
     def _find_end(self) -> int:
-        ends = [self._rest.find(mark) + len(mark) for mark in _ENDS if mark in self._rest]
+        ends = [
+            self._remainder.find(mark) + len(mark)
+            for mark in _EVENT_TERMINATORS
+            if mark in self._remainder
+        ]
         return min(ends, default=0)
 
 
--- a/cranberrywall/forwarding/_forwarder.py
+++ b/cranberrywall/forwarding/_forwarder.py
@@ -1,4 +1,4 @@
-"""Serve the requests of an entry host's callers by forwarding them to targets."""
+"""Forwarder of an entry host, which serves callers' requests by forwarding them to targets."""
 
 import asyncio
 
@@ -8,10 +8,10 @@
 from cranberrywall.configuration import Configuration
 from cranberrywall.errors import Refusal
 from cranberrywall.forwarding._attempts import Attempts
+from cranberrywall.forwarding._billing import RequestBilling, RequestFunds
 from cranberrywall.forwarding._calls import CallForwarder, CompleteAnswer
 from cranberrywall.forwarding._client import TargetClient, make_session
 from cranberrywall.forwarding._interfaces import Arrival, CallerReply, Dialect
-from cranberrywall.forwarding._money import RequestBilling, RequestFunds
 from cranberrywall.forwarding._plan import Plan, Planner
 from cranberrywall.forwarding._streams import StreamForwarder
 from cranberrywall.observability import Metrics, log_event
@@ -21,7 +21,7 @@
 
 
 class Forwarder:
-    """Plan, reserve, forward and settle; one for each entry host."""
+    """Plan, reserve, forward and settle each request of one entry host."""
 
     def __init__(
         self,
@@ -34,83 +34,85 @@
         metrics: Metrics,
         quarantine: Quarantine,
     ) -> None:
-        self._kept = make_session(keeps_connections=True)
-        self._fresh = make_session(keeps_connections=False)
-        client = TargetClient(self._kept, self._fresh, dialect)
+        self._pooled_session = make_session(reuses_connections=True)
+        self._unpooled_session = make_session(reuses_connections=False)
+        client = TargetClient(self._pooled_session, self._unpooled_session, dialect)
         self._planner = Planner(configuration, random)
-        self._cashier = RequestBilling(allotments, configuration, clock)
+        self._billing = RequestBilling(allotments, configuration, clock)
         self._calls = CallForwarder(client, quarantine.tracker, clock)
         self._streams = StreamForwarder(client, quarantine.tracker, clock)
         self._router = router
         self._quarantine = quarantine
         self._clock = clock
         self._requests = metrics.counter(
-            "forwarded_requests", "Forwarded requests by how they ended.", ["outcome"]
+            "forwarded_requests", "Forwarded requests by outcome.", ["outcome"]
         )
         self._seconds = metrics.histogram(
-            "forwarded_seconds", "Time to a forwarded request's end.", ["kind"]
+            "forwarded_seconds",
+            "Time from the arrival to the end of a forwarded request.",
+            ["kind"],
         )
 
     async def serve(
         self, arrival: Arrival, reply: CallerReply, is_current: bool
     ) -> Result[None, Refusal]:
-        """Answer one caller; ``Err`` is a refusal that the caller has not got yet."""
+        """Serve one request; ``Err`` is a refusal that was not sent to the caller yet."""
         planned = self._planner.plan(arrival, is_current)
         if isinstance(planned, Err):
-            self._note_refused(arrival, planned.err_value, None)
+            self._record_refusal(arrival, planned.err_value, None)
             return Err(planned.err_value)
         plan = planned.ok_value
-        held = self._quarantine.check(plan.fingerprint, self._clock.now())
-        if held is not None:
-            self._note_refused(arrival, held, plan)
-            return Err(held)
-        reserved = await self._cashier.reserve(arrival, plan.workspace, plan.deadline)
+        quarantine_refusal = self._quarantine.check(plan.fingerprint, self._clock.now())
+        if quarantine_refusal is not None:
+            self._record_refusal(arrival, quarantine_refusal, plan)
+            return Err(quarantine_refusal)
+        reserved = await self._billing.reserve(arrival, plan.workspace, plan.deadline)
         if isinstance(reserved, Err):
-            self._note_refused(arrival, reserved.err_value, plan)
+            self._record_refusal(arrival, reserved.err_value, plan)
             return Err(reserved.err_value)
-        return await self._serve_paid(arrival, plan, reserved.ok_value, reply)
+        return await self._serve_reserved(arrival, plan, reserved.ok_value, reply)
 
     async def wait_idle(self) -> None:
-        """Return once what requests left behind is settled."""
-        await self._cashier.wait_idle()
+        """Return once the reservations of all ended requests are settled."""
+        await self._billing.wait_idle()
 
     async def close(self) -> None:
         """Close the connections to targets."""
-        await self._kept.close()
-        await self._fresh.close()
+        await self._pooled_session.close()
+        await self._unpooled_session.close()
 
-    async def _serve_paid(
-        self, arrival: Arrival, plan: Plan, purse: RequestFunds, reply: CallerReply
+    async def _serve_reserved(
+        self, arrival: Arrival, plan: Plan, funds: RequestFunds, reply: CallerReply
     ) -> Result[None, Refusal]:
         attempts = Attempts(arrival, plan, self._router, self._quarantine, self._clock)
         try:
-            result = await self._forward(attempts, purse, reply)
-            # The charge is durable before the caller has the end of the answer: it is billed
-            # wherever this process ends after that.
-            await asyncio.shield(purse.settle())
+            result = await self._forward(attempts, funds, reply)
+            # The charge is durable before the caller receives the end of the answer. The request
+            # is therefore billed even if this process ends at any point after that.
+            await asyncio.shield(funds.settle())
         except asyncio.CancelledError:
-            self._note_end(attempts, purse, "cancelled", 0)
+            self._record_end(attempts, funds, "cancelled", 0)
             raise
         finally:
-            self._cashier.settle_later(purse)
-        return await self._finish(attempts, purse, reply, result)
+            self._billing.settle_later(funds)
+        return await self._finish(attempts, funds, reply, result)
 
     async def _forward(
-        self, attempts: Attempts, purse: RequestFunds, reply: CallerReply
+        self, attempts: Attempts, funds: RequestFunds, reply: CallerReply
     ) -> Result[CompleteAnswer | None, Refusal]:
-        if attempts.plan.repeats.is_stream:
-            return await self._streams.run(attempts, purse, reply)
-        return await self._calls.run(attempts, purse)
+        if attempts.plan.repeat_rules.is_stream:
+            return await self._streams.run(attempts, funds, reply)
+        return await self._calls.run(attempts, funds)
 
     async def _finish(
         self,
         attempts: Attempts,
-        purse: RequestFunds,
+        funds: RequestFunds,
         reply: CallerReply,
         result: Result[CompleteAnswer | None, Refusal],
     ) -> Result[None, Refusal]:
         if isinstance(result, Err):
-            self._note_end(attempts, purse, str(result.err_value.kind), 0, result.err_value)
+            self._record_end(attempts, funds, str(result.err_value.kind), 0, result.err_value)
             if reply.has_started:
                 reply.abort()
             return result.map(lambda _: None)
@@ -119,10 +121,10 @@
             await reply.finish()
         else:
             await reply.answer(*answer)
-        self._note_end(attempts, purse, "answered", answer.status if answer else 200)
+        self._record_end(attempts, funds, "answered", answer.status if answer else 200)
         return result.map(lambda _: None)
 
-    def _note_refused(self, arrival: Arrival, refusal: Refusal, plan: Plan | None) -> None:
+    def _record_refusal(self, arrival: Arrival, refusal: Refusal, plan: Plan | None) -> None:
         self._requests.labels(str(refusal.kind)).inc()
         log_event(
             "INFO",
@@ -135,10 +137,10 @@
             refusal=refusal,
         )
 
-    def _note_end(
+    def _record_end(
         self,
         attempts: Attempts,
-        purse: RequestFunds,
+        funds: RequestFunds,
         outcome: str,
         status: int,
         refusal: Refusal | None = None,
@@ -159,7 +161,7 @@
             fingerprint=plan.fingerprint.hex(),
             targets=",".join(attempts.targets),
             may_have_run=attempts.may_have_run,
-            charged=purse.used,
+            charged=funds.used,
             seconds=seconds,
             refusal=refusal or "",
         )
--- a/cranberrywall/forwarding/_interfaces.py
+++ b/cranberrywall/forwarding/_interfaces.py
@@ -1,6 +1,6 @@
-"""Define what forwarding takes from callers, sends to targets, and needs of both protocols.
+"""Types that forwarding exchanges with callers and targets, and protocols that it requires.
 
-Times are monotonic seconds unless a name ends in ``_s``, which is a span in seconds.
+Times are in monotonic seconds; a name that ends in ``_s`` is a duration in seconds.
 """
 
 from typing import NamedTuple, Protocol
@@ -13,14 +13,14 @@
 
 
 class PromptPart(NamedTuple):
-    """Name one part of a prompt, in the order of the prompt, with its length in tokens."""
+    """One part of a prompt with its length in tokens; parts are in the order of the prompt."""
 
     name: str
     tokens: int
 
 
 class Generation(NamedTuple):
-    """Describe what a request asks of a model engine; ``output_limit`` is in tokens."""
+    """Tokens that a request needs at a model engine; ``output_limit`` is in tokens."""
 
     input_tokens: int
     output_limit: int
@@ -28,17 +28,17 @@
 
     @property
     def bound(self) -> int:
-        """Return the most tokens that the request can cost."""
+        """Return the maximum number of tokens that the request can cost."""
         return self.input_tokens + self.output_limit
 
 
 class Arrival(NamedTuple):
-    """Hold one request as a caller sent it.
+    """One request as a caller sent it.
 
-    ``path`` has its query and is sent on byte for byte, as are ``headers`` and ``body``.
-    ``key`` is the bearer key, ``None`` without one. ``max_wait_s`` is how long the caller
-    says that it waits. ``last_event`` is the last event that the caller has of a stream
-    which it resumes.
+    ``path`` includes the query and is forwarded byte for byte, as are ``headers`` and ``body``.
+    ``key`` is the bearer key, or ``None`` if there is none. ``at`` is when the request arrived.
+    ``max_wait_s`` is the time that the caller announces to wait. ``last_event`` is the last event
+    that the caller has received of a stream that it resumes.
     """
 
     request_id: str
@@ -55,11 +55,11 @@
 
 
 class Attempt(NamedTuple):
-    """Describe one sending of a request to a target.
+    """One sending of a request to a target.
 
     ``remaining_s`` is the time that the target may use. ``last_event`` is the last event that the
-    caller has. ``rank`` is the priority, 0 first. ``is_streamed`` says that the target begins to
-    answer as it begins to run the request.
+    caller has received. ``rank`` is the priority; 0 is the highest. ``is_streamed`` is true if
+    the target starts to answer when it starts to run the request.
     """
 
     arrival: Arrival
@@ -73,7 +73,7 @@
 
 
 class TargetLoad(NamedTuple):
-    """Report requests at a target as it answered, and its places."""
+    """Number of requests that run and wait at a target when it answers, and its slots."""
 
     running: int
     waiting: int
@@ -81,12 +81,13 @@
 
 
 class TargetHead(NamedTuple):
-    """Hold what the head of a target's answer says.
+    """Contents of the head of a target's answer.
 
-    ``request_id`` is the request that the target says it answers. ``not_run`` says that it
-    did not and will not run the request, ``is_wrong_target`` that another target has the address.
-    ``rate`` is what it says of the requests that it takes. ``backoff`` is for how many seconds
-    it wants no request from this host. ``is_leaving`` says that it takes no new work.
+    ``request_id`` is the request that the answer belongs to, as the target states it.
+    ``not_run`` is true if the target did not and will not run the request. ``is_wrong_target`` is
+    true if another target has the address. ``rate`` is what the target announces about the rate
+    of requests that it accepts. ``backoff`` is the time for which it requests that this host send
+    nothing, in seconds. ``is_leaving`` is true if it accepts no new requests.
     """
 
     request_id: str
@@ -99,35 +100,35 @@
 
 
 class Dialect(Protocol):
-    """Translate between forwarding and what targets speak over HTTP."""
+    """Translation between forwarding and the HTTP headers that targets use."""
 
     def request_headers(self, attempt: Attempt) -> Headers:
-        """Return the headers of one attempt, all of them."""
+        """Return all headers of one attempt."""
         ...
 
     def read_head(self, status: int, headers: Headers) -> TargetHead:
-        """Return what the head of a target's answer says."""
+        """Parse the head of a target's answer."""
         ...
 
 
 class CallerReply(Protocol):
-    """Answer one caller; each answer begins once and ends once."""
+    """Reply to one caller; a reply starts once and ends once."""
 
     @property
     def has_started(self) -> bool:
-        """Say whether the caller has got the head of an answer."""
+        """Return whether the head of an answer was sent to the caller."""
         ...
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         ...
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose body follows in pieces."""
+        """Send the head of an answer whose body follows in chunks."""
         ...
 
     async def write(self, data: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a chunk of the body."""
         ...
 
     async def finish(self) -> None:
@@ -135,5 +136,5 @@
         ...
 
     def abort(self) -> None:
-        """Close the connection, so that the answer doesn't look whole."""
+        """Close the connection, so that the caller can detect that the answer is incomplete."""
         ...
--- a/tests/callers/test_addresses.py
+++ b/tests/callers/test_addresses.py
@@ -1,8 +1,8 @@
-"""Check which hosts callers are told to use."""
+"""Selection of the hosts that callers should use."""
 
 from collections import Counter
 
-from cranberrywall.callers._addresses import MOST_ADDRESSES, MOST_NEAR, rank_addresses
+from cranberrywall.callers._addresses import MAX_ADDRESSES, MAX_LOCAL_ADDRESSES, rank_addresses
 from cranberrywall.hosts import HostState, HostView
 
 
@@ -15,31 +15,31 @@
     return [view(number, f"place-{number % places}") for number in range(size)]
 
 
-def test_a_small_fleet_is_named_whole():
+def test_a_small_fleet_is_listed_completely():
     assert len(rank_addresses(fleet(7, 3), "place-1", "entry-1")) == 7
 
 
 def test_a_lost_place_leaves_callers_with_hosts_of_others():
-    """A whole place loses power. Its callers keep their list of addresses for a while.
+    """All hosts of a place lose power, and callers still use their cached list of addresses.
 
-    Were all of them in that place, the callers could not even ask for others.
+    If all addresses were in that place, the callers could not request other addresses.
     """
     places = [one.place for one in rank_addresses(fleet(1700, 13), "place-1", "entry-1")]
-    assert len(places) == MOST_ADDRESSES
-    assert places.count("place-1") == MOST_NEAR
+    assert len(places) == MAX_ADDRESSES
+    assert places.count("place-1") == MAX_LOCAL_ADDRESSES
 
 
 def test_a_large_fleet_shares_its_callers():
     """1,700 hosts answer callers, each with 16 addresses.
 
-    Were all to name the first ones of one list, a few hosts would get every caller.
+    If all hosts returned the same addresses, a few hosts would receive every caller.
     """
     hosts = fleet(1700, 13)
     named = Counter(
         address.url for one in hosts for address in rank_addresses(hosts, one.place, one.host)
     )
     assert len(named) > 0.99 * len(hosts)
-    assert max(named.values()) < 3 * MOST_ADDRESSES
+    assert max(named.values()) < 3 * MAX_ADDRESSES
 
 
 def test_one_host_more_changes_an_answer_by_one_address_at_most():
--- a/tests/callers/test_chat.py
+++ b/tests/callers/test_chat.py
@@ -1,4 +1,4 @@
-"""Check chat completions from the caller's side."""
+"""Chat completions from the perspective of a caller."""
 
 import json
 
@@ -6,7 +6,7 @@
 from tests.requests.fleet import Fleet, chat, frames, text_of
 
 
-async def test_a_stream_is_whole_and_billed_once() -> None:
+async def test_a_stream_is_complete_and_billed_once() -> None:
     async with Fleet() as fleet:
         engine = await fleet.engine()
         entry = await fleet.entry()
--- a/tests/callers/test_draining.py
+++ b/tests/callers/test_draining.py
@@ -1,13 +1,13 @@
-"""Check that a draining host goes on serving, and sends callers off its connections."""
+"""A draining host continues to serve and closes the connections of its callers."""
 
 from tests.requests.fleet import Fleet, chat
 
 
 async def test_a_caller_with_an_old_address_is_served_and_let_go() -> None:
-    """A caller keeps the address of a host that leaves, and uses it once more.
+    """A caller uses the cached address of a draining host.
 
-    It is served as before; its connection ends with the answer, so that its next call asks
-    for an address again.
+    The host serves the request and closes the connection after the answer, so that the caller
+    requests new addresses before its next call.
     """
     async with Fleet() as fleet:
         await fleet.engine()
--- a/tests/callers/test_limits.py
+++ b/tests/callers/test_limits.py
@@ -1,4 +1,4 @@
-"""Check what callers may send, and what they hear when they may not."""
+"""Limits of what callers may send, and the errors that they receive."""
 
 import asyncio
 import json
@@ -38,12 +38,12 @@
 
 @pytest.fixture
 async def fleet():
-    async with Fleet() as made:
-        await made.engine()
-        await made.entry(
+    async with Fleet() as started_fleet:
+        await started_fleet.engine()
+        await started_fleet.entry(
             caller_limits=CallerLimits(bodies=BodyLimits(1_000_000, 0.2), write_timeout_s=0.1)
         )
-        yield made
+        yield started_fleet
 
 
 async def test_bad_bodies_name_the_field_and_the_remedy(fleet: Fleet) -> None:
@@ -107,8 +107,8 @@
         assert answer.status == 400
 
 
-async def test_a_body_that_trickles_in_is_given_up(fleet: Fleet) -> None:
-    """A caller sends a byte now and then, to hold connections for ever."""
+async def test_a_body_that_trickles_in_times_out(fleet: Fleet) -> None:
+    """A caller sends a byte now and then to occupy connections indefinitely."""
 
     async def trickle() -> AsyncIterator[bytes]:
         yield b"{"
@@ -119,8 +119,8 @@
     assert (status, error["field"]) == (400, "body")
 
 
-async def test_each_workspace_hears_only_of_its_own_requests(fleet: Fleet) -> None:
-    """Two workspaces use the same key for their requests: each gets its own answer."""
+async def test_each_workspace_receives_only_answers_to_its_own_requests(fleet: Fleet) -> None:
+    """Two workspaces use the same idempotency key; each receives its own answer."""
     entry = fleet.entries[0]
     _, _, own = await fleet.post(entry, chat("one"), request_id="r-1")
     status, _, other = await fleet.post(entry, chat("two"), key=OTHER_KEY, request_id="r-1")
@@ -139,10 +139,10 @@
 
 
 async def test_a_slow_caller_does_not_hold_its_target() -> None:
-    """A caller stops reading in mid answer.
+    """A caller stops reading in the middle of an answer.
 
-    The engine's place is freed when the engine is done, and the answer charged; the
-    caller is cut off once it has taken nothing for the limit.
+    When the engine has finished, its slot is freed and the answer is charged. The caller's
+    connection is closed once it has accepted no data for the write timeout.
     """
     long_text = "x" * 120_000
     async with Fleet() as fleet:
@@ -150,10 +150,10 @@
         await fleet.target(engine.app)
         entry = await fleet.entry(caller_limits=CallerLimits(write_timeout_s=0.2))
         host, port = entry.url.removeprefix("http://").split(":")
-        small = socket.socket()
-        small.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        small.connect((host, int(port)))
-        reader, writer = await asyncio.open_connection(sock=small, limit=1024)
+        client_socket = socket.socket()
+        client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        client_socket.connect((host, int(port)))
+        reader, writer = await asyncio.open_connection(sock=client_socket, limit=1024)
         body = json.dumps(chat(stream=True)).encode()
         writer.write(
             b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer demo-key\r\n"
@@ -164,14 +164,14 @@
             await asyncio.sleep(0.01)
         assert entry.allotments.held == 0
         await asyncio.sleep(0.5)
-        taken = 0
+        received_bytes = 0
         last = b""
         try:
             while data := await reader.read(65_536):
-                taken += len(data)
+                received_bytes += len(data)
                 last = data
         except ConnectionResetError:
             pass
-        assert 0 < taken < 90 * len(long_text)
+        assert 0 < received_bytes < 90 * len(long_text)
         assert b"[DONE]" not in last
         writer.close()
--- a/tests/entry/test_revisions.py
+++ b/tests/entry/test_revisions.py
@@ -1,4 +1,4 @@
-"""Check that revisions travel with the membership's items, one for the whole fleet."""
+"""Dissemination of configuration revisions as one gossip item for the whole fleet."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class SharedItems:
-    """Hand each host's items to every host at once, the newest of a key only."""
+    """Gossip that delivers the newest item of each key to all hosts immediately."""
 
     def __init__(self) -> None:
         self.newest: dict[tuple[str, str], Item] = {}
@@ -22,8 +22,8 @@
         self.receivers.append(receive)
 
     def publish(self, item: Item) -> None:
-        known = self.newest.get((item.topic, item.key))
-        if known is None or item.version > known.version:
+        previous = self.newest.get((item.topic, item.key))
+        if previous is None or item.version > previous.version:
             self.newest[item.topic, item.key] = item
             for receive in self.receivers:
                 receive(item)
@@ -32,8 +32,8 @@
         return list(self.newest.values())
 
 
-def test_a_host_that_missed_a_notice_learns_by_heartbeat() -> None:
-    """No notice and no poll reaches a host; all it gets are the membership's heartbeats."""
+def test_a_host_that_missed_a_notice_receives_the_revision_by_heartbeat() -> None:
+    """A host misses all notices and polls, and receives only the heartbeats of membership."""
 
     async def scenario() -> None:
         fleet = Fleet(3, times=SpreadTimes(heartbeat=1e6, control_poll=1e6))
@@ -41,12 +41,12 @@
         items = SharedItems()
         for entry in fleet.entries:
             gossip_revisions(items, entry.configuration, entry.follower, entry.me.links)
-        deaf = fleet.entries[2]
-        feed: Any = deaf.follower._feed
+        unnotified = fleet.entries[2]
+        feed: Any = unnotified.follower._feed
         feed.note = lambda heard: None
         revision = await fleet.commit(place_edit("new"))
         await fleet.clock.sleep(5.0)
-        assert deaf.configuration.revision == revision - 1
+        assert unnotified.configuration.revision == revision - 1
         del feed.note
         items.receivers[2](items.newest["configuration", "newest"])
         await fleet.until_everywhere(revision, limit=1.0)
@@ -56,7 +56,7 @@
     run_virtual(scenario())
 
 
-def test_peers_are_the_live_ones_once_membership_knows_any() -> None:
+def test_peers_are_the_live_ones_once_membership_tracks_any() -> None:
     def view(host: str) -> HostView:
         return HostView(host, "kranj", "1.2.3.4:5", "", 1, HostState.ALIVE, 0.0)
 
--- a/tests/entry/test_standstill.py
+++ b/tests/entry/test_standstill.py
@@ -1,4 +1,4 @@
-"""Notice a standstill, and hold requests until the host has caught up."""
+"""Detection of stalls, and holding of requests until the host has caught up."""
 
 import asyncio
 
@@ -7,57 +7,57 @@
 
 
 class CatchUp:
-    """Take some time to catch up."""
+    """Catch up after some time, and record when this starts and ends."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
-        self.begun: list[float] = []
+        self.started: list[float] = []
         self.ended: list[float] = []
 
     async def __call__(self) -> None:
-        self.begun.append(self.clock.now())
+        self.started.append(self.clock.now())
         await self.clock.sleep(0.2)
         self.ended.append(self.clock.now())
 
 
-async def test_requests_that_waited_through_a_freeze_are_held_until_the_host_caught_up() -> None:
+async def test_requests_that_waited_through_a_stall_are_held_until_the_host_caught_up() -> None:
     clock = ManualClock()
     catch_up = CatchUp(clock)
-    standstill = StallDetector(clock, catch_up)
-    await standstill.settle(clock.now(), clock.wall())
-    assert not catch_up.begun
+    stall_detector = StallDetector(clock, catch_up)
+    await stall_detector.settle(clock.now(), clock.wall())
+    assert not catch_up.started
     clock.step(4.0)
-    held = [standstill.settle(clock.now(), clock.wall()) for _ in range(3)]
-    tasks = [asyncio.create_task(one) for one in held]
+    waiting_requests = [stall_detector.settle(clock.now(), clock.wall()) for _ in range(3)]
+    tasks = [asyncio.create_task(one) for one in waiting_requests]
     await settle()
-    assert len(catch_up.begun) == 1
+    assert len(catch_up.started) == 1
     assert not any(task.done() for task in tasks)
     await clock.advance(0.3)
     assert all(task.done() for task in tasks)
     assert len(catch_up.ended) == 1
-    await standstill.settle(clock.now(), clock.wall())
-    assert len(catch_up.begun) == 1
+    await stall_detector.settle(clock.now(), clock.wall())
+    assert len(catch_up.started) == 1
 
 
-async def test_a_suspended_machine_is_noticed_by_the_time_of_day() -> None:
-    """The steady clock does not count the time in which a machine was suspended."""
+async def test_a_suspended_machine_is_detected_by_the_wall_clock() -> None:
+    """The monotonic clock does not count the time for which a machine was suspended."""
     clock = ManualClock()
     catch_up = CatchUp(clock)
-    standstill = StallDetector(clock, catch_up)
+    stall_detector = StallDetector(clock, catch_up)
     clock.wall_offset = 5.0
-    waiting = asyncio.create_task(standstill.settle(clock.now(), clock.wall()))
+    waiting = asyncio.create_task(stall_detector.settle(clock.now(), clock.wall()))
     await settle()
-    assert len(catch_up.begun) == 1
+    assert len(catch_up.started) == 1
     await clock.advance(0.3)
     await waiting
 
 
-async def test_a_host_that_looks_at_the_time_as_it_means_to_holds_nothing() -> None:
+async def test_a_host_that_checks_the_time_on_schedule_holds_nothing() -> None:
     clock = ManualClock()
     catch_up = CatchUp(clock)
-    standstill = StallDetector(clock, catch_up)
-    looking = asyncio.create_task(standstill.run())
+    stall_detector = StallDetector(clock, catch_up)
+    checking = asyncio.create_task(stall_detector.run())
     await clock.advance(30.0)
-    await standstill.settle(clock.now(), clock.wall())
-    assert not catch_up.begun
-    looking.cancel()
+    await stall_detector.settle(clock.now(), clock.wall())
+    assert not catch_up.started
+    checking.cancel()
--- a/tests/forwarding/scripted.py
+++ b/tests/forwarding/scripted.py
@@ -1,4 +1,4 @@
-"""Put a forwarder before targets that do as they are told, on loopback."""
+"""Forwarder with scripted targets on the loopback interface."""
 
 import asyncio
 import random
@@ -29,7 +29,7 @@
 
 
 def route(**fields: Any) -> dict[str, Any]:
-    made = {
+    defaults = {
         "name": "r-1",
         "host": "a.example",
         "prefix": "/x/",
@@ -43,11 +43,11 @@
         "is_public": False,
         "is_resumable": False,
     }
-    return {**made, **fields}
+    return {**defaults, **fields}
 
 
 def arrival(**fields: Any) -> Arrival:
-    made: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "request_id": "id-1",
         "host": "a.example",
         "method": "POST",
@@ -56,21 +56,21 @@
         "body": b"body",
         "key": KEY,
         "at": make_clock().now(),
-        "patience_s": 2.0,
+        "max_wait_s": 2.0,
         "generation": Generation(100, 50),
     }
-    return Arrival(**{**made, **fields})
+    return Arrival(**{**defaults, **fields})
 
 
-class HeldReply:
-    """Hold what a caller got."""
+class RecordingReply:
+    """Record what a caller received."""
 
     def __init__(self) -> None:
         self.status = 0
         self.headers: dict[str, str] = {}
         self.data = b""
-        self.is_whole = False
-        self.is_cut = False
+        self.is_complete = False
+        self.is_aborted = False
 
     @property
     def has_started(self) -> bool:
@@ -79,7 +79,7 @@
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
         await self.begin(status, headers)
         self.data = body
-        self.is_whole = True
+        self.is_complete = True
 
     async def begin(self, status: int, headers: Headers) -> None:
         assert not self.has_started
@@ -90,14 +90,14 @@
         self.data += data
 
     async def finish(self) -> None:
-        self.is_whole = True
+        self.is_complete = True
 
     def abort(self) -> None:
-        self.is_cut = True
+        self.is_aborted = True
 
 
 class _Slot:
-    def __init__(self, target_id: str, url: str, router: "InOrder") -> None:
+    def __init__(self, target_id: str, url: str, router: "OrderedRouter") -> None:
         self.target_id = target_id
         self.url = url
         self.version = ""
@@ -105,7 +105,7 @@
 
     @property
     def is_offered(self) -> bool:
-        return self.target_id not in self._router.left
+        return self.target_id not in self._router.withdrawn
 
     def record_first_token(self, now: float) -> None:
         pass
@@ -124,17 +124,17 @@
         self._router.announced_leaving.add(self.target_id)
 
     def finish(self, outcome: Outcome, now: float) -> None:
-        self._router.ended.append(outcome)
+        self._router.outcomes.append(outcome)
 
 
-class InOrder:
-    """Give the targets out in the order of their names, and then refuse."""
+class OrderedRouter:
+    """Return the targets in the order of their names, and refuse once all were tried."""
 
     def __init__(self) -> None:
         self.url_by_id: dict[str, str] = {}
         self.demands: list[Demand] = []
-        self.ended: list[Outcome] = []
-        self.left: set[str] = set()
+        self.outcomes: list[Outcome] = []
+        self.withdrawn: set[str] = set()
         self.backoffs: list[tuple[str, float]] = []
         self.announced_leaving: set[str] = set()
 
@@ -149,8 +149,8 @@
         return Err(Refusal(ErrorKind.NO_TARGET))
 
 
-class Scene:
-    """Hold the forwarder, its targets and its money."""
+class ForwardingHarness:
+    """A forwarder with its targets and its allotments."""
 
     def __init__(self, **route_fields: Any) -> None:
         document = make_document()
@@ -161,18 +161,18 @@
             "memory_tokens": 1000,
             "tokens_per_event": 4,
         }
-        self.money = MemoryAllotments(MemoryLedger(), BUDGET)
-        self.router = InOrder()
+        self.allotments = MemoryAllotments(MemoryLedger(), BUDGET)
+        self.router = OrderedRouter()
         self.targets = make_targets()
         tracker = RunTracker(self.targets, make_network(), make_clock())
         self.quarantine = Quarantine("entry-1", tracker, MemorySpread(), make_clock())
-        self.seen: list[tuple[str, Mapping[str, str]]] = []
+        self.received: list[tuple[str, Mapping[str, str]]] = []
         self._runners: list[web.AppRunner] = []
         self._document = document
         self.forwarder: Forwarder
 
-    async def __aenter__(self) -> "Scene":
-        allotments: Any = self.money  # what the forwarder asks of it is there
+    async def __aenter__(self) -> "ForwardingHarness":
+        allotments: Any = self.allotments  # has the methods that the forwarder uses
         self.forwarder = Forwarder(
             make_fixed_configuration(self._document),
             allotments,
@@ -195,7 +195,7 @@
         """Start a target; ``script`` answers each request."""
 
         async def handle(request: web.Request) -> web.StreamResponse:
-            self.seen.append((name, request.headers.copy()))
+            self.received.append((name, request.headers.copy()))
             return await script(request)
 
         app = web.Application()
@@ -207,34 +207,34 @@
         host, port = runner.addresses[0][:2]
         self.router.url_by_id[name] = f"http://{host}:{port}"
 
-    async def serve(self, request: Arrival | None = None) -> tuple[HeldReply, Any]:
-        reply = HeldReply()
+    async def serve(self, request: Arrival | None = None) -> tuple[RecordingReply, Any]:
+        reply = RecordingReply()
         result = await self.forwarder.serve(request or arrival(), reply, is_current=True)
         return reply, result
 
     @property
     def spent(self) -> int:
-        return BUDGET - self.money.free
+        return BUDGET - self.allotments.free
 
 
 def answers(status: int = 200, body: bytes = b"answer", **headers: Any) -> Script:
     async def script(request: web.Request) -> web.StreamResponse:
         await request.read()
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
-        named.setdefault("X-Request-Id", request.headers["X-Request-Id"])
-        return web.Response(status=status, body=body, headers=named)
+        answer_headers = {name.replace("_", "-"): value for name, value in headers.items()}
+        answer_headers.setdefault("X-Request-Id", request.headers["X-Request-Id"])
+        return web.Response(status=status, body=body, headers=answer_headers)
 
     return script
 
 
-async def silent(request: web.Request) -> web.StreamResponse:
-    """Say nothing for longer than any route allows."""
+async def unresponsive(request: web.Request) -> web.StreamResponse:
+    """Do not respond for longer than any route's timeout."""
     await asyncio.sleep(5.0)
     return web.Response()
 
 
 def without_length(body: bytes, *, is_reset: bool) -> Script:
-    """Answer with a body that ends with the connection, closed in order or reset."""
+    """Answer with a body that ends when the connection is closed or reset."""
 
     async def script(request: web.Request) -> web.StreamResponse:
         await request.read()
@@ -259,8 +259,8 @@
     return f"id: {number}\ndata: piece {number}\n\n".encode()
 
 
-def streams(first: int, last: int, then: bytes = b"", breaks: bool = False) -> Script:
-    """Send events ``first`` to ``last``, then bytes, and break off or end."""
+def streams(first: int, last: int, trailing: bytes = b"", drops: bool = False) -> Script:
+    """Send events ``first`` to ``last``, then ``trailing``; end or drop the connection."""
 
     async def script(request: web.Request) -> web.StreamResponse:
         await request.read()
@@ -273,9 +273,9 @@
         await response.prepare(request)
         for number in range(first, last + 1):
             await response.write(event(number))
-        if then:
-            await response.write(then)
-        if breaks:
+        if trailing:
+            await response.write(trailing)
+        if drops:
             await asyncio.sleep(0.02)
             assert request.transport is not None
             request.transport.abort()
@@ -284,7 +284,7 @@
     return script
 
 
-def breaks_off() -> Script:
+def drops_connection() -> Script:
     async def script(request: web.Request) -> web.StreamResponse:
         await request.read()
         assert request.transport is not None
--- a/tests/forwarding/test_revisions.py
+++ b/tests/forwarding/test_revisions.py
@@ -1,4 +1,4 @@
-"""Decide each request by one revision, and never by an older one than the request before."""
+"""Each request is planned with one revision, which is never older than the previous one."""
 
 import hashlib
 import random
@@ -15,7 +15,7 @@
 
 
 def document_of(number: int) -> dict[str, Any]:
-    """Return a document in which the key, its owner and the route's service go by the number."""
+    """Return a document whose key, workspace and service of the route contain ``number``."""
     document: dict[str, Any] = make_document()
     owner = f"desk-{number}"
     document["workspaces"] = {owner: document["workspaces"]["desk"]}
@@ -33,15 +33,15 @@
 
 
 async def test_the_parts_of_a_decision_are_of_one_revision_which_only_rises() -> None:
-    """A key passes to another workspace as its route moves to another service.
+    """A plan combines the service of one revision with the workspace of another.
 
-    Revisions come as deltas and as whole documents, out of order and twice, from peers that are
-    behind. A request that took its service from one and its workspace from another would be run
-    where neither of them allows.
+    Each revision moves a key to another workspace and its route to another service. Revisions
+    arrive as deltas and as full documents, out of order and twice, from peers with older
+    revisions. A mixed plan would run a request at a service that neither revision allows.
     """
     configuration = make_host_configuration(None)
     planner = Planner(configuration, random.Random(1))
-    chance = random.Random(7)
+    random_source = random.Random(7)
     deltas: list[Delta] = []
     documents: list[DocumentAt] = []
     before: dict[str, Any] = {"ledger_groups": 1}
@@ -52,19 +52,21 @@
         deltas.append(Delta(Revision(number, "ana", 0.0, f"change-{number}", ()), edits, chain))
         documents.append(DocumentAt(number, after, chain))
         before = after
-    decided: list[int] = []
+    planned_revisions: list[int] = []
     for _ in range(400):
-        newest = min(REVISIONS, 1 + len(decided) // 8)
-        sent = chance.randrange(max(0, newest - 6), newest)
-        if chance.random() < 0.2:
-            await configuration.apply_snapshot(documents[sent])
+        newest_index = min(REVISIONS, 1 + len(planned_revisions) // 8)
+        sent_index = random_source.randrange(max(0, newest_index - 6), newest_index)
+        if random_source.random() < 0.2:
+            await configuration.apply_snapshot(documents[sent_index])
         else:
-            await configuration.apply_deltas(deltas[chance.randrange(0, sent + 1) : sent + 1])
+            await configuration.apply_deltas(
+                deltas[random_source.randrange(0, sent_index + 1) : sent_index + 1]
+            )
         if not configuration.revision:
             continue
         plan = planner.plan(arrival(key="shared"), is_current=True).unwrap()
         assert plan.service == f"service-{plan.revision}"
         assert plan.workspace == f"desk-{plan.revision}"
-        decided.append(plan.revision)
-    assert decided == sorted(decided)
-    assert len(set(decided)) > REVISIONS / 4
+        planned_revisions.append(plan.revision)
+    assert planned_revisions == sorted(planned_revisions)
+    assert len(set(planned_revisions)) > REVISIONS / 4
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Check that the table of answers is whole."""
+"""Completeness and consistency of the table of answers."""
 
 import pytest
 
