--- a/cranberrywall/control/__init__.py
+++ b/cranberrywall/control/__init__.py
@@ -1,12 +1,12 @@
-"""Assemble the control program, and call it from the other programs."""
+"""Control hosts: their replicated groups, the clients of these, and the enrolment of hosts."""
 
 from cranberrywall.control._client import ControlClient, MembersClient, make_control_client
 from cranberrywall.control._contacts import ControlContacts, GroupJoiner
 from cranberrywall.control._enrolment import Enrolments
+from cranberrywall.control._notifiers import NOTIFIERS_PER_HOST, NotifierAssignment
 from cranberrywall.control._placement import ledger_group, ledger_groups
 from cranberrywall.control._program import ControlHost, make_control_host
-from cranberrywall.control._storage_watch import EXIT_RESTART, StorageMonitor
-from cranberrywall.control._tellers import NOTIFIERS_PER_HOST, NotifierAssignment
+from cranberrywall.control._storage_monitor import EXIT_RESTART, StorageMonitor
 from cranberrywall.control.messages import (
     PROPOSE,
     QUERY,
@@ -22,25 +22,25 @@
 
 __all__ = [
     "EXIT_RESTART",
+    "NOTIFIERS_PER_HOST",
     "PROPOSE",
     "QUERY",
-    "NOTIFIERS_PER_HOST",
     "ChangeMemberReply",
     "ChangeMemberRequest",
     "ControlClient",
     "ControlContacts",
     "ControlHost",
-    "GroupJoiner",
     "EnrolledHost",
     "Enrolments",
+    "GroupJoiner",
     "MembersClient",
     "MembersReply",
+    "NotifierAssignment",
     "ProposeReply",
     "ProposeRequest",
     "QueryReply",
     "QueryRequest",
     "StorageMonitor",
-    "NotifierAssignment",
     "ledger_group",
     "ledger_groups",
     "make_control_client",
--- a/cranberrywall/control/_contacts.py
+++ b/cranberrywall/control/_contacts.py
@@ -1,4 +1,4 @@
-"""Know the control hosts of a fleet, from a few addresses to begin with."""
+"""Discovery of the control hosts from seed addresses, and requests to join groups again."""
 
 from collections.abc import Awaitable, Callable, Sequence
 
@@ -10,38 +10,39 @@
 from cranberrywall.observability import log_event
 from cranberrywall.runtime import Clock, Random
 
-ENROL_EVERY_S = 1.0
-"""A host enrols at one control host this often, in seconds.
+ENROL_INTERVAL_S = 1.0
+"""Interval at which a host enrols at one control host after another, in seconds.
 
-Each of five control hosts so hears of each host every 5 s, at a cost that doesn't grow with
-the number of hosts at either end beyond one small call a host and second."""
+Each of five control hosts so receives an enrolment of each host every 5 s. The cost is one small
+call per host and second, however many hosts and control hosts there are."""
 
-FIRST_EVERY_S = 0.1
-"""Until a control host has answered once the next one is asked so soon, in seconds."""
+FIRST_ENROL_INTERVAL_S = 0.1
+"""Interval between enrolments until a control host has answered for the first time, in seconds."""
 
 ENROL_TIMEOUT_S = 0.5
 
-ENLIST_EVERY_S = 1.0
+ENLIST_INTERVAL_S = 1.0
 
-LOST_AFTER_S = 5.0
-"""After so long without an answer of any control host this one counts as cut off, in seconds.
+CONTACT_TIMEOUT_S = 5.0
+"""A host without an answer of any control host for this time counts as isolated, in seconds.
 
-Five turns: one that stops and starts again within that time is missed by nobody."""
+This is five enrolment intervals, so that a control host can restart within this time without
+effect."""
 
 Enlist = Callable[[str, str, str], Awaitable[Result[object, Refusal]]]
-"""Ask the leader of a group to take in a host at an address."""
+"""Ask the leader of a group to add a host as a member; arguments: group, host, stream address."""
 
 OnEntries = Callable[[Sequence[EnrolledHost]], None]
 
 OnRevision = Callable[[int, str], None]
-"""Take in which revision of the configuration the control host at an address has."""
+"""Receive the revision of the configuration that a control host has, and its stream address."""
 
 
 class ControlContacts:
-    """Hold the control hosts' stream addresses; the seeds stay among them for good.
+    """Stream addresses of the control hosts: those that control hosts returned, and the seeds.
 
-    Seeds may be gone, and those that took their place are told by the others. Where none
-    that was told of answers any more, the seeds are what is left to ask.
+    Seeds may have been replaced by other hosts; the remaining control hosts return the addresses
+    of these. The seeds stay in use, for the case that no returned address answers any more.
     """
 
     def __init__(
@@ -61,33 +62,33 @@
         self._random = random
         self._on_entries = on_entries
         self._on_revision = on_revision
-        self._told: tuple[str, ...] = ()
-        self._turn = random.randrange(0, max(1, len(seeds)))
-        self._heard_at = float("-inf")
+        self._discovered: tuple[str, ...] = ()
+        self._index = random.randrange(0, max(1, len(seeds)))
+        self._last_contact_at = float("-inf")
 
     def addresses(self) -> Sequence[str]:
-        """Return the addresses to call, this host's own left out where others are known."""
-        known = dict.fromkeys((*self._told, *self._seeds))
-        others = [address for address in known if address != self._me.links]
-        return others or list(known)
+        """Return the addresses to call, without this host's own one if there are others."""
+        unique = dict.fromkeys((*self._discovered, *self._seeds))
+        others = [address for address in unique if address != self._me.links]
+        return others or list(unique)
 
     def is_recently_seen(self, now: float) -> bool:
-        """Say whether a control host answered this one within ``LOST_AFTER_S``."""
-        return now - self._heard_at <= LOST_AFTER_S
+        """Return whether a control host answered this one within ``CONTACT_TIMEOUT_S``."""
+        return now - self._last_contact_at <= CONTACT_TIMEOUT_S
 
     async def run(self) -> None:
-        """Enrol again and again, until cancelled."""
+        """Enrol at regular intervals until cancelled."""
         while True:
             await self.enrol_once()
-            is_known = self._heard_at > float("-inf")
-            pause_s = ENROL_EVERY_S if is_known else FIRST_EVERY_S
+            has_contact = self._last_contact_at > float("-inf")
+            pause_s = ENROL_INTERVAL_S if has_contact else FIRST_ENROL_INTERVAL_S
             await self._clock.sleep(pause_s * self._random.uniform(0.8, 1.2))
 
     async def enrol_once(self) -> bool:
-        """Enrol at the next control host in turn, and return whether it answered."""
+        """Enrol at the next control host in turn; return whether it answered."""
         addresses = self.addresses()
-        self._turn += 1
-        address = addresses[self._turn % len(addresses)]
+        self._index += 1
+        address = addresses[self._index % len(addresses)]
         answer = await self._caller.call(address, ENROL, EnrolRequest(self._me), ENROL_TIMEOUT_S)
         if isinstance(answer, Err):
             return False
@@ -95,19 +96,19 @@
         now = self._clock.now()
         if not self.is_recently_seen(now):
             log_event("INFO", "control_in_reach", control=address, controls=len(reply.controls))
-        self._heard_at = now
-        # An answer without control hosts is one of a host that knows of none yet.
-        self._told = reply.controls or self._told
+        self._last_contact_at = now
+        # A control host that has no addresses yet returns none.
+        self._discovered = reply.controls or self._discovered
         self._on_revision(reply.revision, address)
         self._on_entries([one for one in reply.entries if one.host != self._me.host])
         return True
 
 
 class GroupJoiner:
-    """Have this host taken in by groups that it hears no leader of.
+    """Asks the leaders of groups to add this host, if it has no contact with them.
 
-    A control host whose seat was given away while it was cut off, or that comes with an
-    empty disk, is sent nothing by the leader; it must ask.
+    The leader sends nothing to a control host that was replaced as a member while it was
+    partitioned, or that starts with an empty disk. Such a host has to ask.
     """
 
     def __init__(
@@ -118,18 +119,18 @@
         enlist: Enlist,
         clock: Clock,
     ) -> None:
-        """``groups_without_leader`` gives the groups of which this host hears no leader."""
+        """``groups_without_leader`` returns the groups whose leader this host cannot reach."""
         self._host = host
         self._links = links
-        self._unheard = groups_without_leader
+        self._groups_without_leader = groups_without_leader
         self._enlist = enlist
         self._clock = clock
 
     async def run(self) -> None:
-        """Ask once a second for each such group, until cancelled."""
+        """Ask for each such group every ``ENLIST_INTERVAL_S`` seconds until cancelled."""
         while True:
-            await self._clock.sleep(ENLIST_EVERY_S)
-            for group in self._unheard():
+            await self._clock.sleep(ENLIST_INTERVAL_S)
+            for group in self._groups_without_leader():
                 answer = await self._enlist(group, self._host, self._links)
                 if isinstance(answer, Ok):
                     log_event("INFO", "enlisted", group=group)
--- a/cranberrywall/control/_enrolment.py
+++ b/cranberrywall/control/_enrolment.py
@@ -1,8 +1,8 @@
-"""Let hosts that know only a few control hosts find all others.
+"""Enrolment of hosts at a control host, by which hosts with a few seed addresses find the others.
 
-Each host tells one control host after another where it is, and learns which control and
-entry hosts that one knows. What a control host knows is in memory only: it is told again
-within seconds after a restart.
+Each host sends its addresses to one control host after another. The answer lists the control and
+entry hosts that this control host has recorded. A control host keeps its records in memory only,
+because all hosts enrol again within seconds after it restarts.
 """
 
 from collections.abc import Callable, Sequence
@@ -15,18 +15,18 @@
 from cranberrywall.observability import log_event
 from cranberrywall.runtime import Clock, Random
 
-KEPT_S = 600.0
-"""A host that was not heard for this long is forgotten, in seconds.
+HOST_RETENTION_S = 600.0
+"""A host that has not enrolled for this time is removed, in seconds.
 
-Far longer than a cut lasts: a control host that hears of no entry host is most often cut off
-itself, and goes on naming those that it knew."""
+This is far longer than a network partition lasts. A control host that receives no enrolment of
+any entry host is usually partitioned itself, and goes on returning the hosts on record."""
 
-ENTRIES_TOLD = 16
-"""Entry hosts named in one answer at most: they know of the others among themselves."""
+MAX_ENTRIES_PER_REPLY = 16
+"""Maximum number of entry hosts in one answer; entry hosts find the others by gossip."""
 
 
 class Enrolments:
-    """Hold the hosts that were heard of lately."""
+    """Hosts that enrolled at this control host recently."""
 
     def __init__(
         self,
@@ -35,57 +35,60 @@
         clock: Clock,
         random: Random,
     ) -> None:
-        """``members`` gives the stream addresses of the groups' members, by their rosters.
+        """``members`` returns the stream addresses of the groups' members, by their rosters.
 
-        ``revision`` is the newest one of the configuration here. A host that nobody could tell of
-        it, since it was cut off or not there yet, so learns of it as soon as it is in touch.
+        ``revision`` returns the newest revision of the configuration on this host. It is part of
+        each answer, so that a host that was partitioned or not started when the revision was
+        announced receives it with its next enrolment.
         """
         self._members = members
         self._revision = revision
         self._clock = clock
         self._random = random
         self._host_by_name: dict[str, EnrolledHost] = {}
-        self._heard_at: dict[str, float] = {}
+        self._last_seen_by_name: dict[str, float] = {}
 
     def register(self, server: Server) -> None:
-        """Answer the hosts that enrol at ``server``."""
+        """Register the handler of enrolments at ``server``."""
         server.register(ENROL, self._enrol)
 
     def entries(self) -> list[EnrolledHost]:
-        """Return the entry hosts that were heard of, in the order of their names."""
-        self._forget_silent(self._clock.now())
-        known = [host for host in self._host_by_name.values() if not host.is_control]
-        return sorted(known, key=lambda host: host.host)
+        """Return the entry hosts on record, sorted by name."""
+        self._remove_expired(self._clock.now())
+        entries = [host for host in self._host_by_name.values() if not host.is_control]
+        return sorted(entries, key=lambda host: host.host)
 
     def controls(self) -> tuple[str, ...]:
-        """Return the stream addresses of the control hosts, members of the groups first."""
+        """Return the stream addresses of the control hosts, the members of the groups first."""
         members = list(self._members())
         enrolled = [host.links for host in self._host_by_name.values() if host.is_control]
         return tuple(dict.fromkeys(members + enrolled))
 
     def control_incarnations(self) -> dict[str, int]:
-        """Return the incarnations of the control hosts heard of, by their streams' addresses."""
-        known = self._host_by_name.values()
-        return {host.links: host.incarnation for host in known if host.is_control}
+        """Return the incarnations of the control hosts on record, by stream address."""
+        hosts = self._host_by_name.values()
+        return {host.links: host.incarnation for host in hosts if host.is_control}
 
     async def _enrol(self, request: EnrolRequest, peer: Peer) -> Result[EnrolReply, Refusal]:
-        self._note(request.me)
+        self._record(request.me)
         entries = self.entries()
-        while len(entries) > ENTRIES_TOLD:
+        while len(entries) > MAX_ENTRIES_PER_REPLY:
             entries.pop(self._random.randrange(0, len(entries)))
         return Ok(EnrolReply(self.controls(), tuple(entries), self._revision()))
 
-    def _note(self, host: EnrolledHost) -> None:
-        known = self._host_by_name.get(host.host)
-        # A late message of an earlier run must not bring its address back.
-        if known is not None and known.incarnation > host.incarnation:
+    def _record(self, host: EnrolledHost) -> None:
+        recorded = self._host_by_name.get(host.host)
+        # A delayed message of an earlier incarnation must not restore its address.
+        if recorded is not None and recorded.incarnation > host.incarnation:
             return
-        if known != host:
+        if recorded != host:
             log_event("INFO", "host_enrolled", enrolled=host.host, links=host.links)
         self._host_by_name[host.host] = host
-        self._heard_at[host.host] = self._clock.now()
+        self._last_seen_by_name[host.host] = self._clock.now()
 
-    def _forget_silent(self, now: float) -> None:
-        for name in [name for name, at in self._heard_at.items() if now - at > KEPT_S]:
+    def _remove_expired(self, now: float) -> None:
+        for name in [
+            name for name, at in self._last_seen_by_name.items() if now - at > HOST_RETENTION_S
+        ]:
             del self._host_by_name[name]
-            del self._heard_at[name]
+            del self._last_seen_by_name[name]
--- a/cranberrywall/control/_placement.py
+++ b/cranberrywall/control/_placement.py
@@ -1,10 +1,10 @@
-"""Place budgets on ledger groups."""
+"""Assignment of budgets to ledger groups by hash."""
 
 import xxhash
 
 
 def ledger_group(budget: str, groups: int) -> str:
-    """Return the name of the group that keeps ``budget`` where there are ``groups`` of them.
+    """Return the name of the ledger group that stores ``budget``, out of ``groups`` groups.
 
     >>> ledger_group("clerks", 1)
     'ledger-0'
@@ -13,7 +13,7 @@
 
 
 def ledger_groups(groups: int) -> tuple[str, ...]:
-    """Return the names of all ledger groups.
+    """Return the names of all ledger groups, whose number is ``groups``.
 
     >>> ledger_groups(2)
     ('ledger-0', 'ledger-1')
--- a/cranberrywall/control/_program.py
+++ b/cranberrywall/control/_program.py
@@ -1,6 +1,6 @@
-"""Run a control host's replicated groups and answer calls to them.
+"""Control host: runs replicated groups and answers calls for them.
 
-The program knows nothing of what its groups keep: their state machines are given to it.
+It does not depend on what the groups store: the caller passes in their state machines.
 """
 
 import asyncio
@@ -35,18 +35,18 @@
 )
 from cranberrywall.runtime import Runtime
 
-PROPOSE_S = 10.0
-"""How long a command may take to commit, in seconds; callers give up earlier."""
+GROUP_CALL_TIMEOUT_S = 10.0
+"""Time limit for a command or a query in a group, in seconds; callers time out earlier."""
 
 
 class GroupServer:
-    """Answer calls for the groups that this host is a member of."""
+    """Answers the calls for the groups that this host is a member of."""
 
     def __init__(self, group_by_name: Mapping[str, Replica]) -> None:
         self.group_by_name = group_by_name
 
     def register(self, server: Server) -> None:
-        """Answer the calls at ``server``."""
+        """Register the handlers of these calls at ``server``."""
         server.register(PROPOSE, self._propose)
         server.register(QUERY, self._query)
         server.register(MEMBERS, self._members)
@@ -56,14 +56,14 @@
         group = self._group(request.group)
         if isinstance(group, Err):
             return Err(group.err_value)
-        reply = await group.ok_value.propose(request.command, PROPOSE_S)
+        reply = await group.ok_value.propose(request.command, GROUP_CALL_TIMEOUT_S)
         return reply.map(ProposeReply)
 
     async def _query(self, request: QueryRequest, peer: Peer) -> Result[QueryReply, Refusal]:
         group = self._group(request.group)
         if isinstance(group, Err):
             return Err(group.err_value)
-        reply = await group.ok_value.query(request.query, PROPOSE_S)
+        reply = await group.ok_value.query(request.query, GROUP_CALL_TIMEOUT_S)
         return reply.map(QueryReply)
 
     async def _members(self, request: MembersRequest, peer: Peer) -> Result[MembersReply, Refusal]:
@@ -99,23 +99,23 @@
         if group is not None:
             return Ok(group)
         remedy = "give every process the same `ledger_groups` as the control hosts"
-        return Err(Refusal(ErrorKind.NOT_FOUND, f"no group {name} here", "group", remedy))
+        return Err(Refusal(ErrorKind.NOT_FOUND, f"this host has no group {name}", "group", remedy))
 
 
 async def _change(group: Replica, request: ChangeMemberRequest) -> Result[None, Refusal]:
     if request.action == "add":
-        return await group.add(request.host, request.address, PROPOSE_S)
+        return await group.add(request.host, request.address, GROUP_CALL_TIMEOUT_S)
     if request.action == "enlist":
-        return await group.enlist(request.host, request.address, PROPOSE_S)
+        return await group.enlist(request.host, request.address, GROUP_CALL_TIMEOUT_S)
     if request.action == "remove":
-        return await group.remove(request.host, PROPOSE_S, request.forced)
+        return await group.remove(request.host, GROUP_CALL_TIMEOUT_S, request.forced)
     return await group.replace(
-        request.host, request.new_host, request.address, PROPOSE_S, request.forced
+        request.host, request.new_host, request.address, GROUP_CALL_TIMEOUT_S, request.forced
     )
 
 
 class ControlHost:
-    """Hold one control host's groups and its streams to other processes."""
+    """Groups of one control host and its streams to other processes."""
 
     def __init__(
         self,
@@ -130,10 +130,10 @@
         self._is_started = False
 
     async def start(self) -> None:
-        """Open the groups' files, then listen; raise ``OSError`` where that fails.
+        """Open the files of the groups, then listen; raise ``OSError`` if listening fails.
 
-        A group that cannot open its files takes no part, and the others do:
-        ``check_started`` names it.
+        A group whose files cannot be opened stays inactive, and the other groups run.
+        ``check_started`` reports the inactive group.
         """
         for name, group in self.group_by_name.items():
             started = await group.start()
@@ -144,11 +144,11 @@
         self._is_started = True
 
     async def hand_over(self) -> None:
-        """Let other hosts lead the groups that this one leads, before it stops."""
+        """Transfer the leadership of the groups that this host leads, before it stops."""
         await asyncio.gather(*(group.hand_over() for group in self.group_by_name.values()))
 
     async def stop(self) -> None:
-        """Leave the groups and close the streams."""
+        """Stop the groups on this host and close the streams."""
         self._is_started = False
         for group in self.group_by_name.values():
             await group.stop()
@@ -156,55 +156,55 @@
         await self.caller.close()
 
     def led_groups(self) -> list[str]:
-        """Return the groups that this host leads."""
+        """Return the names of the groups that this host leads."""
         return [name for name, group in self.group_by_name.items() if group.is_leader]
 
     def groups_without_leader(self) -> list[str]:
-        """Return the groups of which this host hears no leader."""
+        """Return the names of the groups whose leader this host has no contact with."""
         return [name for name, group in self.group_by_name.items() if not group.has_leader_contact]
 
     def members(self) -> list[str]:
-        """Return the stream addresses of all groups' members, as this host's logs name them."""
+        """Return the stream addresses of all groups' members, by this host's replicated logs."""
         addresses = [
             address for group in self.group_by_name.values() for address in group.addresses()
         ]
         return list(dict.fromkeys(addresses))
 
     def check_started(self) -> str | None:
-        """Return why a group could not open its files, or ``None``."""
+        """Return why groups could not open their files, or ``None`` if all could."""
         if not self._failures:
             return None
         return "; ".join(f"{name}: {refusal}" for name, refusal in self._failures.items())
 
     def check_ready(self) -> str | None:
-        """Return why this host does not answer calls yet, or ``None``."""
+        """Return why this host cannot answer calls now, or ``None`` if it can."""
         if not self._is_started:
             return "the groups are being opened"
-        lost = self.groups_without_leader()
-        return f"no leader is known of {', '.join(lost)}" if lost else None
+        groups = self.groups_without_leader()
+        return f"no contact with the leader of {', '.join(groups)}" if groups else None
 
     def state(self) -> dict[str, Any]:
-        """Return the groups and the streams, for the state dump."""
+        """Return the state of the groups and the streams, for the state dump."""
         groups = {name: group.state() for name, group in self.group_by_name.items()}
         return {"groups": groups, "server": self.server.state(), "caller": self.caller.state()}
 
 
 def make_control_host(
     host: str,
-    founders: InitialMembers,
+    initial_members: InitialMembers,
     machine_by_group: Mapping[str, StateMachine],
     runtime: Runtime,
     caller: LinkCaller,
     server: LinkServer,
     settings: GroupSettings | None = None,
 ) -> ControlHost:
-    """Return a control host that is a member of one group for each state machine.
+    """Return a control host that runs one group for each state machine.
 
-    ``founders`` form the groups where there are none yet. Raise ``ValueError`` for a
+    ``initial_members`` form the groups if these do not exist yet. Raise ``ValueError`` for a
     host without a disk.
     """
     group_by_name = {
-        name: make_group(name, founders, host, machine, runtime, caller, server, settings)
+        name: make_group(name, initial_members, host, machine, runtime, caller, server, settings)
         for name, machine in machine_by_group.items()
     }
     GroupServer(group_by_name).register(server)
--- a/cranberrywall/control/messages.py
+++ b/cranberrywall/control/messages.py
@@ -1,4 +1,4 @@
-"""Define the calls that control hosts answer."""
+"""Calls that control hosts answer, with their request and reply messages."""
 
 from typing import Literal, NamedTuple
 
@@ -7,49 +7,50 @@
 
 
 class ProposeRequest(NamedTuple):
-    """Ask the leader of ``group`` to commit ``command``."""
+    """Request to the leader of ``group`` to commit ``command``."""
 
     group: str
     command: bytes
 
 
 class ProposeReply(NamedTuple):
-    """Carry what the state machine answered."""
+    """Result of the command, as the state machine returned it."""
 
     result: bytes
 
 
 class QueryRequest(NamedTuple):
-    """Ask the leader of ``group`` for a linearizable read."""
+    """Request to the leader of ``group`` for a linearizable read."""
 
     group: str
     query: bytes
 
 
 class QueryReply(NamedTuple):
-    """Carry what the state machine answered."""
+    """Result of the query, as the state machine returned it."""
 
     result: bytes
 
 
 class MembersRequest(NamedTuple):
-    """Ask the leader of ``group`` for its members, and which changes of them are safe."""
+    """Request to the leader of ``group`` for its members and the safe changes of them."""
 
     group: str
 
 
 class MembersReply(NamedTuple):
-    """Carry the members as the leader sees them, and the steps that could be taken."""
+    """Members as the leader sees them, and the possible changes; unsafe ones have a reason."""
 
     members: tuple[MemberView, ...]
     steps: tuple[Step, ...]
 
 
 class ChangeMemberRequest(NamedTuple):
-    """Ask the leader of ``group`` to add, enlist, remove or replace ``host``.
+    """Request to the leader of ``group`` to add, enlist, remove or replace ``host``.
 
-    A host enlists itself. ``new_host`` takes its place in a replacement; ``address`` is the
-    stream address of the host that comes. ``forced`` allows an unsafe removal or replacement.
+    A host enlists itself. A replacement makes ``new_host`` a member instead of ``host``.
+    ``address`` is the stream address of the host that becomes a member. ``forced`` allows an
+    unsafe removal or replacement.
     """
 
     group: str
@@ -61,11 +62,14 @@
 
 
 class ChangeMemberReply(NamedTuple):
-    """Say that the change was committed; a new host catches up after it."""
+    """Confirmation that the change is committed; a new host catches up afterwards."""
 
 
 class EnrolledHost(NamedTuple):
-    """Describe a host as it told of itself; ``http`` is for callers, empty on control hosts."""
+    """Host as it announced itself.
+
+    ``links`` is its stream address, ``http`` its address for callers, empty on control hosts.
+    """
 
     host: str
     place: str
@@ -76,15 +80,15 @@
 
 
 class EnrolRequest(NamedTuple):
-    """Tell a control host where the sender is."""
+    """Enrolment of the sender at a control host."""
 
     me: EnrolledHost
 
 
 class EnrolReply(NamedTuple):
-    """Give the control hosts' stream addresses, and some entry hosts.
+    """Stream addresses of the control hosts, and some of the entry hosts.
 
-    ``revision`` is the newest one of the configuration that the control host has.
+    ``revision`` is the newest revision of the configuration that the control host has.
     """
 
     controls: tuple[str, ...]
--- a/tests/control/hosts.py
+++ b/tests/control/hosts.py
@@ -1,4 +1,4 @@
-"""Run control hosts in one process, with faked time, network and disks."""
+"""Control hosts in one process, with a virtual clock, a fake network and fake disks."""
 
 import asyncio
 import random
@@ -20,8 +20,8 @@
 SETTINGS = GroupSettings(snapshot_bytes=4096, retained_entries=5)
 
 
-class Controls:
-    """Hold three control hosts with one ledger group, and a client of them."""
+class ControlCluster:
+    """Three control hosts with one ledger group, and a client of them."""
 
     def __init__(self, seed: int) -> None:
         self.clock = VirtualClock()
@@ -60,25 +60,23 @@
         self.host_by_name[host] = control
 
     async def kill(self, host: str) -> None:
-        """Lose power: what was not synced is lost."""
+        """Simulate a power loss of a host: data that was not synced is lost."""
         self.storage_by_host[host].crash()
         self.fabric.crash(self.ip_by_host[host])
         await self.host_by_name.pop(host).stop()
         self.storage_by_host[host].restart()
 
-    async def leader(self) -> str:
-        """Wait until one host leads, and return its name."""
+    async def wait_for_leader(self) -> str:
+        """Wait until a host leads the group, and return its name."""
         for _ in range(600):
-            led_groups = [
-                host for host, control in self.host_by_name.items() if control.led_groups()
-            ]
-            if led_groups:
-                return led_groups[-1]
+            leaders = [host for host, control in self.host_by_name.items() if control.led_groups()]
+            if leaders:
+                return leaders[-1]
             await asyncio.sleep(0.1)
-        raise AssertionError("no leader came")
+        raise AssertionError("no leader was elected within 60 s")
 
-    def cut_off(self, host: str, *others: str) -> None:
-        """Cut a host from the other control hosts, or from the IP numbers given."""
+    def isolate(self, host: str, *others: str) -> None:
+        """Partition a host from the other control hosts, or from the given IP addresses."""
         for ip in others or [ip for name, ip in self.ip_by_host.items() if name != host]:
             self.fabric.cut(self.ip_by_host[host], ip)
 
@@ -88,16 +86,18 @@
         await self.caller.close()
 
 
-def run_controls(test: Callable[[Controls], Coroutine[Any, Any, None]], seed: int = 1) -> None:
-    """Run ``test`` on three started control hosts, in virtual time."""
+def run_controls(
+    test: Callable[[ControlCluster], Coroutine[Any, Any, None]], seed: int = 1
+) -> None:
+    """Run ``test`` with three started control hosts, in virtual time."""
 
     async def main() -> None:
-        controls = Controls(seed)
-        for host in controls.ip_by_host:
-            await controls.start(host)
+        cluster = ControlCluster(seed)
+        for host in cluster.ip_by_host:
+            await cluster.start(host)
         try:
-            await test(controls)
+            await test(cluster)
         finally:
-            await controls.stop()
+            await cluster.stop()
 
     run_virtual(main())
--- a/tests/control/test_enrolment.py
+++ b/tests/control/test_enrolment.py
@@ -1,4 +1,4 @@
-"""Find control and entry hosts through a few addresses."""
+"""Discovery of control and entry hosts from a few seed addresses."""
 
 import random
 from typing import Any
@@ -16,8 +16,8 @@
 PEER = Peer("entry-1", "kranj", 5)
 
 
-class Controls:
-    """Answer at some addresses."""
+class ScriptedControlHosts:
+    """Caller whose calls get a reply at some addresses and fail at all others."""
 
     def __init__(self) -> None:
         self.reply_by_address: dict[str, EnrolReply] = {}
@@ -35,8 +35,8 @@
     return Enrolments(lambda: ["10.0.0.1:7000"], lambda: 7, clock, random.Random(1))
 
 
-def test_a_control_host_tells_of_members_and_of_those_that_enrolled() -> None:
-    async def story() -> None:
+def test_a_control_host_returns_members_and_enrolled_hosts() -> None:
+    async def scenario() -> None:
         enrolments = make_enrolments(VirtualClock())
         await enrolments._enrol(EnrolRequest(CONTROL), PEER)
         reply = (await enrolments._enrol(EnrolRequest(ENTRY), PEER)).unwrap()
@@ -44,24 +44,24 @@
         assert reply.entries == (ENTRY,)
         assert reply.revision == 7
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_late_message_of_an_earlier_run_does_not_bring_its_address_back() -> None:
-    async def story() -> None:
+def test_a_late_message_of_an_earlier_incarnation_does_not_restore_its_address() -> None:
+    async def scenario() -> None:
         enrolments = make_enrolments(VirtualClock())
         moved = ENTRY._replace(links="10.0.1.9:7000", incarnation=6)
         await enrolments._enrol(EnrolRequest(moved), PEER)
         await enrolments._enrol(EnrolRequest(ENTRY), PEER)
         assert enrolments.entries() == [moved]
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_control_host_that_hears_nobody_for_a_while_goes_on_naming_them() -> None:
-    """A cut between control and all entry hosts says nothing of the entry hosts."""
+def test_a_control_host_without_enrolments_for_a_while_still_returns_recorded_hosts() -> None:
+    """A partition between control and all entry hosts must not remove the entry hosts."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         clock = VirtualClock()
         enrolments = make_enrolments(clock)
         await enrolments._enrol(EnrolRequest(ENTRY), PEER)
@@ -70,14 +70,14 @@
         await clock.sleep(3600.0)
         assert enrolments.entries() == []
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_host_goes_on_where_all_its_seeds_are_gone() -> None:
-    """The seeds are exchanged for other hosts while this one runs, and then end."""
+def test_a_host_still_enrols_after_all_its_seeds_are_lost() -> None:
+    """Other control hosts replace the seeds while this host runs; then the seeds stop."""
 
-    async def story() -> None:
-        clock, controls = VirtualClock(), Controls()
+    async def scenario() -> None:
+        clock, controls = VirtualClock(), ScriptedControlHosts()
         seeds = ("10.0.0.1:7000", "10.0.0.2:7000")
         others = ("10.0.0.4:7000", "10.0.0.5:7000")
         for address in (*seeds, *others):
@@ -94,25 +94,25 @@
         assert contacts.is_recently_seen(clock.now())
         assert list(contacts.addresses()) == [*others, *seeds]
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_host_that_nobody_told_hears_of_the_newest_configuration_as_it_enrols() -> None:
-    """A host comes back from a cut. Control has given up telling it of what it missed."""
+def test_a_host_that_was_not_notified_receives_the_newest_revision_as_it_enrols() -> None:
+    """A host reconnects after a partition, when control has stopped notifying it of updates."""
 
-    async def story() -> None:
-        clock, controls = VirtualClock(), Controls()
+    async def scenario() -> None:
+        clock, controls = VirtualClock(), ScriptedControlHosts()
         controls.reply_by_address["10.0.0.1:7000"] = EnrolReply((), (), revision=9)
-        heard: list[tuple[int, str]] = []
+        received: list[tuple[int, str]] = []
         contacts = ControlContacts(
             ENTRY,
             ["10.0.0.1:7000"],
             controls,
             clock,
             random.Random(1),
-            on_revision=lambda revision, control: heard.append((revision, control)),
+            on_revision=lambda revision, control: received.append((revision, control)),
         )
         assert await contacts.enrol_once()
-        assert heard == [(9, "10.0.0.1:7000")]
+        assert received == [(9, "10.0.0.1:7000")]
 
-    run_virtual(story())
+    run_virtual(scenario())
--- a/tests/control/test_search.py
+++ b/tests/control/test_search.py
@@ -1,4 +1,4 @@
-"""Tell a caller the truth when no leader answered."""
+"""Refusals that a caller gets if no leader answered."""
 
 import random
 from typing import Any
@@ -14,7 +14,10 @@
 
 
 class ScriptedCaller:
-    """Answer calls in order, the last answer for ever, each after some seconds."""
+    """Caller that returns scripted answers in order, then repeats the last one.
+
+    Each call takes 0.2 s, or ``timeout`` if that is shorter.
+    """
 
     def __init__(self, clock: VirtualClock, *answers) -> None:
         self._clock = clock
@@ -43,16 +46,16 @@
 
 @pytest.mark.parametrize("kind", [ErrorKind.TIMEOUT, ErrorKind.STORAGE_FAILED])
 def test_an_attempt_that_may_have_acted_is_not_hidden_by_later_ones(kind: ErrorKind):
-    """The leader commits a draw and dies before it answers; then nobody can be reached.
+    """The leader commits a draw and dies before it answers; then no control host is reachable.
 
-    Told "unreachable", the host would take the draw for not done and number the next one
-    anew; the amount would be held by nobody.
+    With the refusal "unreachable", the host would treat the draw as not done and give the next
+    draw a new number. No host would then hold the amount of the first draw.
     """
     answer, _ = propose(refused(kind), refused(ErrorKind.UNREACHABLE))
     assert answer.unwrap_err().kind is ErrorKind.TIMEOUT
 
 
-def test_what_certainly_did_nothing_is_said_so():
+def test_an_attempt_that_cannot_have_acted_is_reported_as_unreachable():
     answer, addresses = propose(refused(ErrorKind.UNREACHABLE))
     assert answer.unwrap_err().kind is ErrorKind.UNREACHABLE
     assert set(addresses) == set(CONTROLS)
@@ -64,7 +67,7 @@
 
 
 def test_two_hosts_that_name_each_other_do_not_keep_a_caller_for_ever():
-    """After a cut two followers remember each other as the leader."""
+    """After a partition two followers each name the other one as the leader."""
     first, second = CONTROLS[:2]
     hints = [refused(ErrorKind.NOT_LEADER, address) for address in (first, second) * 20]
     answer, addresses = propose(*hints, timeout=3.0)
--- a/tests/control/test_storage_watch.py
+++ b/tests/control/test_storage_watch.py
@@ -1,4 +1,4 @@
-"""End a control host's process once its disk takes writes again, and no sooner."""
+"""Restart of a control host's process once its disk accepts writes again, and not before."""
 
 import asyncio
 import random
@@ -12,19 +12,19 @@
 from tests.fakes.clock import VirtualClock, run_virtual
 from tests.fakes.storage import FakeStorage
 
-FULL_FOR_S = 4.5
+FULL_DURATION_S = 4.5
 
 
-class FullFor(FakeStorage):
-    """Refuse writes until ``room_at``."""
+class TemporarilyFullStorage(FakeStorage):
+    """Storage that refuses writes until ``writable_at``."""
 
-    def __init__(self, clock: VirtualClock, room_at: float) -> None:
+    def __init__(self, clock: VirtualClock, writable_at: float) -> None:
         super().__init__(random.Random(1))
         self._clock = clock
-        self._room_at = room_at
+        self._writable_at = writable_at
 
     def replace(self, name: str, data: bytes) -> None:
-        if self._clock.now() < self._room_at:
+        if self._clock.now() < self._writable_at:
             raise OSError(28, "No space left on device")
         super().replace(name, data)
 
@@ -36,30 +36,31 @@
 def test_a_disk_that_was_full_costs_no_member_for_good(
     kind: ErrorKind | None, is_restarted: bool
 ) -> None:
-    """A control host's disk is full for some seconds, and empties.
+    """A control host's disk is full for some seconds, then has free space again.
 
-    Its members had stopped at the first failed write and waited for an operator: the next loss of
-    a control host could take the groups' majority. A damaged file is another matter.
+    Without a restart, the members on this host stay stopped after the first failed write until an
+    operator acts, and the next loss of a control host can cost the groups their majority. A
+    damaged file causes no restart.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         clock = VirtualClock()
         group: Any = SimpleNamespace(failure=Refusal(kind) if kind else None)
         restarted: list[float] = []
-        storage = FullFor(clock, clock.now() + FULL_FOR_S)
+        storage = TemporarilyFullStorage(clock, clock.now() + FULL_DURATION_S)
 
         def restart() -> None:
             restarted.append(clock.now())
             group.failure = None
 
         started_at = clock.now()
-        watch = StorageMonitor([group], storage, clock, restart)
-        task = asyncio.create_task(watch.run())
-        await clock.sleep(2 * FULL_FOR_S)
+        monitor = StorageMonitor([group], storage, clock, restart)
+        task = asyncio.create_task(monitor.run())
+        await clock.sleep(2 * FULL_DURATION_S)
         task.cancel()
         assert bool(restarted) is is_restarted
         if is_restarted:
-            assert FULL_FOR_S <= restarted[0] - started_at < FULL_FOR_S + 1.0
+            assert FULL_DURATION_S <= restarted[0] - started_at < FULL_DURATION_S + 1.0
             assert storage.names("") == []
 
-    run_virtual(story())
+    run_virtual(scenario())
