--- a/cranberrywall/hosts/__init__.py
+++ b/cranberrywall/hosts/__init__.py
@@ -1,4 +1,4 @@
-"""Know the fleet's hosts, who is alive, and which addresses callers should use."""
+"""Membership of entry hosts: failure detection, gossip, and the drain and dump calls."""
 
 from cranberrywall.hosts._drain import DRAIN, DrainReply, DrainRequest, register_drain
 from cranberrywall.hosts._dump import DUMP, DumpReply, DumpRequest, register_dump
@@ -10,8 +10,8 @@
     Membership,
 )
 from cranberrywall.hosts._membership import make_membership
-from cranberrywall.hosts._pace import MembershipTimings, membership_timings
 from cranberrywall.hosts._static import make_static_membership
+from cranberrywall.hosts._timings import MembershipTimings, membership_timings
 from cranberrywall.hosts.messages import Item, Urgency
 
 __all__ = [
--- a/cranberrywall/hosts/_drain.py
+++ b/cranberrywall/hosts/_drain.py
@@ -1,4 +1,4 @@
-"""Let an operator end a host's process in good order."""
+"""The call with which an operator drains a host's process."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -11,10 +11,10 @@
 
 
 class DrainRequest(NamedTuple):
-    """Ask a process to take no new work, finish what it has, and exit.
+    """Request that a process accept no new work, finish its running work and exit.
 
-    ``incarnation`` is the one meant, or 0 for whichever runs: a request sent again must
-    not end the process that was started in the place of the first.
+    ``incarnation`` is the incarnation to drain, or 0 for the one that is running. A request
+    that is sent again must not end the process that replaced the drained one.
     """
 
     operator: str
@@ -22,7 +22,7 @@
 
 
 class DrainReply(NamedTuple):
-    """Say that the process has begun; ``incarnation`` is its own."""
+    """Confirmation that the drain has started; ``incarnation`` is that of the process."""
 
     incarnation: int
 
@@ -31,16 +31,19 @@
 
 
 def register_drain(server: Server, incarnation: int, drain: Callable[[], None]) -> None:
-    """Answer ``DRAIN`` at ``server`` by calling ``drain`` once; it must not wait."""
-    is_asked = False
+    """Register a handler for ``DRAIN`` at ``server`` that calls ``drain`` once.
+
+    ``drain`` must return without waiting for the work to finish.
+    """
+    has_started = False
 
     async def answer(request: DrainRequest, peer: Peer) -> Result[DrainReply, Refusal]:
         if request.incarnation not in (0, incarnation):
             message = f"the host runs with incarnation {incarnation}"
             return Err(Refusal(ErrorKind.CONFLICT, message, "incarnation"))
-        nonlocal is_asked
-        if not is_asked:
-            is_asked = True
+        nonlocal has_started
+        if not has_started:
+            has_started = True
             log_event("INFO", "drain_asked", operator=request.operator, by=peer.host)
             drain()
         return Ok(DrainReply(incarnation))
--- a/cranberrywall/hosts/_dump.py
+++ b/cranberrywall/hosts/_dump.py
@@ -1,4 +1,4 @@
-"""Show one process's state to the system's other processes, such as the console."""
+"""The call with which other processes, such as the console, read a process's state."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -10,13 +10,13 @@
 
 
 class DumpRequest(NamedTuple):
-    """Ask for a process's state; empty ``section`` asks for all of it."""
+    """Request for a process's state; an empty ``section`` requests all sections."""
 
     section: str
 
 
 class DumpReply(NamedTuple):
-    """Carry the state as JSON; ``null`` for a section that the process has not."""
+    """State as JSON; ``null`` if the process does not have the section."""
 
     state: bytes
 
@@ -25,7 +25,10 @@
 
 
 def register_dump(server: Server, dump_json: Callable[[str], bytes]) -> None:
-    """Answer ``DUMP`` at ``server`` by ``dump_json``, which gets the section's name."""
+    """Register a handler for ``DUMP`` at ``server``.
+
+    ``dump_json`` receives the name of the section and returns the JSON.
+    """
 
     async def answer(request: DumpRequest, peer: Peer) -> Result[DumpReply, Refusal]:
         return Ok(DumpReply(dump_json(request.section)))
--- a/cranberrywall/hosts/_entries.py
+++ b/cranberrywall/hosts/_entries.py
@@ -1,4 +1,4 @@
-"""Read and write what the hosts spread about each other."""
+"""Gossip items about hosts: their addresses, versions, states and loads."""
 
 from typing import NamedTuple
 
@@ -11,11 +11,11 @@
 LOAD_TOPIC = "load"
 PLACE_LOAD_TOPIC = "place-load"
 
-_LOAD_STEPS = 255
+_LOAD_SCALE = 255
 
 
 class HostRecord(NamedTuple):
-    """Hold what a host says of itself."""
+    """Place and addresses that a host announces for itself."""
 
     place: str
     links: str
@@ -23,11 +23,12 @@
 
 
 class HostVersion(NamedTuple):
-    """Order what is said of a host; the fields compare from the first to the last.
+    """Version of a host's entry; versions compare field by field, from the first to the last.
 
-    A new start of the host overtakes the old one. Leaving overtakes everything else of a
-    start. ``number`` is raised by the host itself alone, to refute a suspicion; suspicion and
-    death are said of one number and so overtake it, and a higher number overtakes them.
+    A new incarnation supersedes all versions of the previous one. Within an incarnation,
+    leaving supersedes everything else. Only the host itself increments ``number``, to refute
+    a suspicion. A suspect or dead verdict applies to one number: it supersedes that number,
+    and a higher number supersedes the verdict.
     """
 
     incarnation: int
@@ -42,7 +43,7 @@
 
 
 class Entry(NamedTuple):
-    """Hold the newest that is known of a host."""
+    """Newest record and version of a host."""
 
     host: str
     record: HostRecord
@@ -50,37 +51,46 @@
 
     @property
     def state(self) -> HostState:
-        """Return what the version says, without what this host makes of it."""
+        """Return the state in the version, without this host's own corrections.
+
+        ``Roster.view`` applies the corrections for flapping hosts and unreachable places.
+        """
         if self.version.verdict != ALIVE:
             return _STATE_BY_VERDICT[self.version.verdict]
         return HostState.LEAVING if self.version.leaving else HostState.ALIVE
 
-    def item(self) -> Item:
-        """Return the entry as an item that spreads at once."""
+    def to_item(self) -> Item:
+        """Return the entry as an urgent gossip item, which is pushed immediately."""
         payload = msgspec.msgpack.encode(self.record)
         return Item(HOSTS_TOPIC, self.host, tuple(self.version), payload, urgency=Urgency.URGENT)
 
-    def judged(self, verdict: int) -> "Entry":
-        """Return the entry with a verdict on the same number."""
+    def with_verdict(self, verdict: int) -> "Entry":
+        """Return the entry with ``verdict`` on the same number."""
         return self._replace(version=self.version._replace(verdict=verdict))
 
 
-def read_entry(item: Item) -> Entry:
-    """Return the item's entry, or raise ``ValueError`` where it is not one."""
+def decode_entry(item: Item) -> Entry:
+    """Return the entry in ``item``.
+
+    Raises:
+        ValueError: the item is not a valid entry of a host.
+    """
     if len(item.version) != len(HostVersion._fields) or not ALIVE <= item.version[-1] <= DEAD:
-        raise ValueError(f"{item.version} is no version of a host")
+        raise ValueError(f"{item.version} is not a valid version of a host entry")
     record = msgspec.msgpack.decode(item.payload, type=HostRecord)
     return Entry(item.key, record, HostVersion(*item.version))
 
 
-def load_item(topic: str, key: str, version: tuple[int, ...], load: float, place: str = "") -> Item:
-    """Return the item of a share of capacity in use, 0 to 1."""
-    share = bytes([round(min(1.0, max(0.0, load)) * _LOAD_STEPS)])
+def encode_load(
+    topic: str, key: str, version: tuple[int, ...], load: float, place: str = ""
+) -> Item:
+    """Return the gossip item for ``load``, the share of capacity in use, 0 to 1."""
+    share = bytes([round(min(1.0, max(0.0, load)) * _LOAD_SCALE)])
     return Item(topic, key, version, share, place, Urgency.VOLATILE)
 
 
-def read_load(item: Item | None) -> float:
-    """Return the load of an item, 0 where there is none."""
+def decode_load(item: Item | None) -> float:
+    """Return the load in ``item``, or 0 if there is no item."""
     if item is None or not item.payload:
         return 0.0
-    return item.payload[0] / _LOAD_STEPS
+    return item.payload[0] / _LOAD_SCALE
--- a/cranberrywall/hosts/_interfaces.py
+++ b/cranberrywall/hosts/_interfaces.py
@@ -1,4 +1,4 @@
-"""Define what the other packages read of membership."""
+"""Interfaces of membership and gossip for the other packages."""
 
 from collections.abc import Callable, Sequence
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class HostState(StrEnum):
-    """Say what this host believes of another."""
+    """State of a host as this host sees it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -18,9 +18,9 @@
 
 
 class HostView(NamedTuple):
-    """Describe an entry host as this one knows it.
+    """Entry host as this host sees it.
 
-    ``load`` is its share of capacity in use, 0 to 1, as last heard.
+    ``load`` is the share of its capacity in use, 0 to 1, as last received.
     """
 
     host: str
@@ -33,77 +33,80 @@
 
 
 class Membership(Protocol):
-    """Know which entry hosts are alive; suspicion moves traffic and never money."""
+    """Tracks which entry hosts are alive.
+
+    A suspicion redirects traffic only. It never moves money.
+    """
 
     def alive(self) -> Sequence[HostView]:
-        """Return the hosts that are alive, this one included unless it is leaving."""
+        """Return the hosts that are alive, including this one unless it is leaving."""
         ...
 
     def by_host(self, host: str) -> HostView | None:
-        """Return what is known of one host."""
+        """Return the view of ``host``, or ``None`` if it is not recorded."""
         ...
 
 
 class Gossip(Protocol):
-    """Pass facts on among the entry hosts, within a budget of bytes."""
+    """Disseminates items among the entry hosts, within a limit of bytes."""
 
     def subscribe(self, topic: str, receive: Callable[[Item], None]) -> None:
-        """Call ``receive`` with each item of ``topic`` that is news, own ones included.
+        """Call ``receive`` with each new item of ``topic``, including items of this host.
 
-        One receiver a topic; it must be quick and not raise.
+        A topic has at most one receiver, which must return quickly and must not raise.
         """
         ...
 
     def publish(self, item: Item) -> None:
-        """Spread an item; one that is not newer than what is known is dropped."""
+        """Disseminate ``item``; an item that is not newer than the stored one is dropped."""
         ...
 
     def items(self, topic: str) -> Sequence[Item]:
-        """Return the newest items of a topic, without those that are gone."""
+        """Return the newest items of ``topic``, without removed ones."""
         ...
 
 
 class LiveMembership(Membership, Protocol):
-    """Take part in the membership; the task of one entry host."""
+    """Membership with the tasks that one entry host runs for it."""
 
     @property
     def gossip(self) -> Gossip:
-        """Return what passes other packages' facts on."""
+        """Return the gossip over which other packages disseminate items."""
         ...
 
     @property
     def is_superseded(self) -> bool:
-        """Say whether another process was seen under this host's name, of a later start."""
+        """Return whether another process with this host's name and a later incarnation was seen."""
         ...
 
     def all(self) -> Sequence[HostView]:
-        """Return all hosts known, dead ones too."""
+        """Return all recorded hosts, including dead ones."""
         ...
 
     def set_load(self, load: float) -> None:
-        """Say which share of this host's capacity is in use, 0 to 1."""
+        """Set the share of this host's capacity that is in use, 0 to 1."""
         ...
 
     def leave(self) -> None:
-        """Let callers be sent elsewhere from now on; this host goes on serving."""
+        """Announce that this host leaves, so that callers use other hosts; it goes on serving."""
         ...
 
     async def start(self) -> None:
-        """Join by the seeds, as far as they answer, and take part until ``close``."""
+        """Join the fleet through the seeds that answer, and run until ``close``."""
         ...
 
     async def contact_any(self, links: Sequence[str]) -> None:
-        """Compare with one of the hosts at these addresses that this one is out of touch with."""
+        """Synchronize with one host at ``links`` that this host has no contact with."""
         ...
 
     async def close(self) -> None:
-        """Stop taking part."""
+        """Stop the tasks of membership."""
         ...
 
     def export(self, metrics: Metrics) -> None:
-        """Let ``metrics`` show the hosts by state, and what membership did."""
+        """Register the metrics of membership: hosts by state, and counts of events."""
         ...
 
     def state(self) -> dict[str, Any]:
-        """Return hosts and counts for the state dump."""
+        """Return the hosts and counts for the state dump."""
         ...
--- a/cranberrywall/hosts/_membership.py
+++ b/cranberrywall/hosts/_membership.py
@@ -1,4 +1,4 @@
-"""Take part in the membership of entry hosts."""
+"""Membership of one entry host: its tasks, and its answers to other hosts."""
 
 import asyncio
 from collections.abc import Coroutine, Sequence
@@ -15,23 +15,23 @@
     Entry,
     HostRecord,
     HostVersion,
-    load_item,
+    encode_load,
 )
 from cranberrywall.hosts._interfaces import Gossip, HostState, HostView, LiveMembership
-from cranberrywall.hosts._pace import MembershipTimings
 from cranberrywall.hosts._prober import Prober
 from cranberrywall.hosts._ring import Rings
 from cranberrywall.hosts._roster import Roster
-from cranberrywall.hosts._spread import Contact, Spreading
-from cranberrywall.hosts._sync import Syncing
-from cranberrywall.hosts._table import Table
+from cranberrywall.hosts._spread import GossipPeer, PiggybackGossip
+from cranberrywall.hosts._sync import AntiEntropy
+from cranberrywall.hosts._table import ItemTable
+from cranberrywall.hosts._timings import MembershipTimings
 from cranberrywall.hosts.messages import (
-    ASK,
+    INDIRECT_PROBE,
     PROBE,
     PUSH,
     SYNC,
-    AskReply,
-    AskRequest,
+    IndirectProbeReply,
+    IndirectProbeRequest,
     Item,
     ProbeReply,
     ProbeRequest,
@@ -42,13 +42,13 @@
 from cranberrywall.observability import Metrics, log_event
 from cranberrywall.runtime import Clock, Random
 
-_VIEWS_KEPT_S = 0.2
-_LONGEST_ASK_S = 5.0
-_JITTER = 0.1
-_JOIN_BY = 3
-_MET_AT_MOST = 2
-_MEET_NEXT_AFTER_S = 0.4
-_LONGEST_SYNC_S = 5.0
+_VIEWS_TTL_S = 0.2
+_MAX_INDIRECT_PROBE_TIMEOUT_S = 5.0
+_JITTER_FRACTION = 0.1
+_SEEDS_PER_JOIN_ROUND = 3
+_MAX_CONTACTED_HOSTS = 2
+_NEXT_CONTACT_DELAY_S = 0.4
+_MAX_SYNC_S = 5.0
 _T = TypeVar("_T")
 
 
@@ -61,17 +61,17 @@
     caller: Caller,
     clock: Clock,
     random: Random,
-    pace: MembershipTimings | None = None,
+    timings: MembershipTimings | None = None,
 ) -> LiveMembership:
-    """Return the membership of the entry host ``identity``; it answers calls on ``server``.
+    """Return the membership of the entry host ``identity``, and register its calls on ``server``.
 
-    ``links`` and ``http`` are the host's own addresses, ``seeds`` the ``links`` addresses
-    of some hosts to join by.
+    ``links`` and ``http`` are the host's own addresses. ``seeds`` are the ``links`` addresses
+    of some hosts through which it joins the fleet.
     """
     record = HostRecord(identity.place, links, http)
     version = HostVersion(identity.incarnation, leaving=0, number=1, verdict=ALIVE)
     own = Entry(identity.host, record, version)
-    membership = _Membership(own, seeds, caller, clock, random, pace or MembershipTimings())
+    membership = _Membership(own, seeds, caller, clock, random, timings or MembershipTimings())
     membership.register(server)
     return membership
 
@@ -84,7 +84,7 @@
         caller: Caller,
         clock: Clock,
         random: Random,
-        pace: MembershipTimings,
+        timings: MembershipTimings,
     ) -> None:
         place = own.record.place
         self._host = own.host
@@ -92,53 +92,55 @@
         self._seeds = [seed for seed in seeds if seed != own.record.links]
         self._clock = clock
         self._random = random
-        self._pace = pace
-        self._table = Table(place)
-        self._roster = Roster(own, self._table, pace)
-        self._spreading = Spreading(self._table, caller, clock, pace, self._contacts)
-        self._syncing = Syncing(own.host, place, self._table, self._spreading, caller, clock, pace)
+        self._timings = timings
+        self._table = ItemTable(place)
+        self._roster = Roster(own, self._table, timings)
+        self._gossip = PiggybackGossip(self._table, caller, clock, timings, self._gossip_peers)
+        self._anti_entropy = AntiEntropy(
+            own.host, place, self._table, self._gossip, caller, clock, timings
+        )
         self._prober = Prober(
             self._roster,
             self._table,
-            self._spreading,
+            self._gossip,
             caller,
             clock,
             random,
-            pace,
-            self._on_answer,
+            timings,
+            self._on_probe_reply,
         )
-        self._spreading.subscribe(HOSTS_TOPIC, self._on_host)
+        self._gossip.subscribe(HOSTS_TOPIC, self._on_host_item)
         self._tasks: set[asyncio.Task[Any]] = set()
         self._load = 0.0
         self._published_load = 0.0
         self._load_number = 0
-        self._load_at = float("-inf")
-        self._place_load_at = float("-inf")
-        self._alive: list[HostView] | None = None
-        self._alive_at = float("-inf")
+        self._load_published_at = float("-inf")
+        self._place_load_published_at = float("-inf")
+        self._alive_views: list[HostView] | None = None
+        self._alive_views_at = float("-inf")
 
     @property
     def gossip(self) -> Gossip:
-        return self._spreading
+        return self._gossip
 
     @property
     def is_superseded(self) -> bool:
         return self._roster.is_superseded
 
     def register(self, server: Server) -> None:
-        """Answer the other hosts' calls."""
+        """Register the handlers of the other hosts' calls."""
         server.register(PROBE, self._answer_probe)
-        server.register(ASK, self._answer_ask)
+        server.register(INDIRECT_PROBE, self._answer_indirect_probe)
         server.register(PUSH, self._answer_push)
-        server.register(SYNC, self._syncing.answer)
+        server.register(SYNC, self._anti_entropy.answer)
 
     def alive(self) -> Sequence[HostView]:
         now = self._clock.now()
-        if self._alive is None or now - self._alive_at > _VIEWS_KEPT_S:
+        if self._alive_views is None or now - self._alive_views_at > _VIEWS_TTL_S:
             views = self._roster.views(now)
-            self._alive = [view for view in views if view.state is HostState.ALIVE]
-            self._alive_at = now
-        return self._alive
+            self._alive_views = [view for view in views if view.state is HostState.ALIVE]
+            self._alive_views_at = now
+        return self._alive_views
 
     def by_host(self, host: str) -> HostView | None:
         return self._roster.view(host, self._clock.now())
@@ -150,63 +152,69 @@
         self._load = load
 
     def leave(self) -> None:
-        self._alive = None
-        self._spreading.publish(self._roster.change_own(leaving=True).item())
+        self._alive_views = None
+        self._gossip.publish(self._roster.update_own(leaving=True).to_item())
 
     async def start(self) -> None:
-        self._spreading.publish(self._roster.own.item())
-        self._start(self._probe_in_turn())
-        self._start(self._keep_house())
-        self._start(self._rejoin())
+        self._gossip.publish(self._roster.own.to_item())
+        self._start(self._probe_periodically())
+        self._start(self._run_maintenance())
+        self._start(self._rejoin_periodically())
         await self._join()
 
     async def _join(self) -> None:
-        """Compare with a few seeds; where none answers, with the rest.
+        """Synchronize with a few seeds, and with the next few if none of them answers.
 
-        Only a few, for every host of a large fleet names the same seeds.
+        Only a few at a time, because every host of a large fleet has the same seeds.
         """
         seeds = list(self._seeds)
         while seeds:
-            some = [seeds.pop(self._random.randrange(0, len(seeds))) for _ in seeds[:_JOIN_BY]]
-            if await self._sync_with_any(some, next_after_s=0.0):
+            batch = [
+                seeds.pop(self._random.randrange(0, len(seeds)))
+                for _ in seeds[:_SEEDS_PER_JOIN_ROUND]
+            ]
+            if await self._sync_with_any(batch, next_delay_s=0.0):
                 return
 
     async def contact_any(self, links: Sequence[str]) -> None:
         own = self._roster.own.record.links
-        strangers = [address for address in self._out_of_touch(links) if address != own]
-        count = min(_MET_AT_MOST, len(strangers))
-        some = [strangers.pop(self._random.randrange(0, len(strangers))) for _ in range(count)]
-        await self._sync_with_any(some, _MEET_NEXT_AFTER_S)
+        candidates = [address for address in self._without_contact(links) if address != own]
+        count = min(_MAX_CONTACTED_HOSTS, len(candidates))
+        chosen = [candidates.pop(self._random.randrange(0, len(candidates))) for _ in range(count)]
+        await self._sync_with_any(chosen, _NEXT_CONTACT_DELAY_S)
 
-    async def _sync_with_any(self, links: Sequence[str], next_after_s: float) -> bool:
-        """Compare with one host after the other, and return whether one has answered.
+    async def _sync_with_any(self, links: Sequence[str], next_delay_s: float) -> bool:
+        """Synchronize with the hosts at ``links``, and return whether one of them has answered.
 
-        The next is tried beside the one before once that took ``next_after_s``. A silent host takes
-        the whole timeout of the call, and must not keep this one from knowing the others.
+        If a host does not answer within ``next_delay_s`` seconds, the next attempt starts while
+        the first one continues. If it is 0, all attempts start at the same time. A call to an
+        unresponsive host takes the full timeout, and must not delay the answers of the others.
         """
-        left: set[asyncio.Task[bool]] = set()
+        pending: set[asyncio.Task[bool]] = set()
         for address in links:
-            left.add(self._start(self._syncing.sync_with(address)))
-            if next_after_s and await self._first_true(left, next_after_s):
+            pending.add(self._start(self._anti_entropy.sync_with(address)))
+            if next_delay_s and await self._first_true(pending, next_delay_s):
                 return True
-        return await self._first_true(left, _LONGEST_SYNC_S)
+        return await self._first_true(pending, _MAX_SYNC_S)
 
-    async def _first_true(self, tasks: set[asyncio.Task[bool]], within_s: float) -> bool:
-        """Return whether one of the tasks ends with true in time; all go on."""
-        pause = asyncio.get_running_loop().create_task(self._clock.sleep(within_s))
-        left = set(tasks)
+    async def _first_true(self, tasks: set[asyncio.Task[bool]], timeout_s: float) -> bool:
+        """Return whether one of the tasks returns true in time; all tasks continue."""
+        timeout = asyncio.get_running_loop().create_task(self._clock.sleep(timeout_s))
+        pending = set(tasks)
         try:
-            while left and not pause.done():
-                done, _ = await asyncio.wait({*left, pause}, return_when=asyncio.FIRST_COMPLETED)
-                left -= done
-                if any(task.result() for task in done if task is not pause):
+            while pending and not timeout.done():
+                done, _ = await asyncio.wait(
+                    {*pending, timeout}, return_when=asyncio.FIRST_COMPLETED
+                )
+                pending -= done
+                if any(task.result() for task in done if task is not timeout):
                     return True
             return False
         finally:
-            pause.cancel()
+            timeout.cancel()
 
     async def close(self) -> None:
-        self._spreading.close()
+        self._gossip.close()
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -217,7 +225,7 @@
             "hosts": self.all(),
             "neighbours": [entry.host for entry in self._roster.neighbours()],
             "is_delegate": self._roster.is_delegate(),
-            "cut_places": sorted(self._roster.cut_places()),
+            "cut_places": sorted(self._roster.unreachable_places()),
             "is_superseded": self.is_superseded,
             "changes": dict(self._roster.transitions),
             "items": len(self._table),
@@ -227,11 +235,11 @@
     def export(self, metrics: Metrics) -> None:
         metrics.gauges_of(
             "membership_hosts",
-            "Hosts known, by what is believed of them.",
+            "Recorded hosts, by the state in which this host sees them.",
             "state",
             self._hosts_by_state,
         )
-        metrics.counters_of("membership_events", "What membership did.", "event", self._counts)
+        metrics.counters_of("membership_events", "Events of membership.", "event", self._counts)
 
     def _hosts_by_state(self) -> dict[str, float]:
         states = [view.state for view in self.all()]
@@ -242,103 +250,103 @@
             "probes": self._prober.probes,
             "failed_probes": self._prober.failures,
             "suspicions": self._prober.suspicions,
-            "syncs": self._syncing.syncs,
-            "pushed_bytes": self._spreading.pushed_bytes,
-            "delayed_pushes": self._spreading.delayed_pushes,
+            "syncs": self._anti_entropy.syncs,
+            "pushed_bytes": self._gossip.pushed_bytes,
+            "delayed_pushes": self._gossip.delayed_pushes,
         }
 
-    async def _probe_in_turn(self) -> None:
+    async def _probe_periodically(self) -> None:
         while True:
             for entry in self._prober.next_targets():
                 self._start(self._prober.probe(entry))
-            await self._clock.sleep(self._jittered(self._pace.period))
+            await self._clock.sleep(self._jittered(self._timings.period))
 
-    async def _keep_house(self) -> None:
+    async def _run_maintenance(self) -> None:
         while True:
-            began = self._clock.now()
-            await self._clock.sleep(self._pace.period)
+            started_at = self._clock.now()
+            await self._clock.sleep(self._timings.period)
             now = self._clock.now()
-            overslept = now - began - self._pace.period
-            if overslept > self._pace.probe_timeout:
-                # The refutations that came while this process stood still are not read yet.
-                self._roster.excuse(overslept)
-            for entry in self._roster.overdue(now):
-                self._spreading.publish(entry.item())
+            stall_s = now - started_at - self._timings.period
+            if stall_s > self._timings.probe_timeout:
+                # Refutations that arrived while this process was stalled are not read yet.
+                self._roster.extend_suspicions(stall_s)
+            for entry in self._roster.expired_suspects(now):
+                self._gossip.publish(entry.to_item())
             self._publish_load(now)
-            for host in self._roster.forget_dead(now):
+            for host in self._roster.remove_expired_dead(now):
                 self._table.remove(HOSTS_TOPIC, host)
                 self._table.remove(LOAD_TOPIC, host)
-            self._table.forget_gone(now - self._pace.forget_after)
+            self._table.remove_expired(now - self._timings.dead_retention)
 
-    async def _rejoin(self) -> None:
-        """Try hosts that are out of touch, so that two parts of a cut fleet find together."""
-        wait = self._pace.rejoin_period
+    async def _rejoin_periodically(self) -> None:
+        """Contact hosts without contact, so that two parts of a partitioned fleet rejoin."""
+        wait = self._timings.rejoin_period
         while True:
             await self._clock.sleep(self._jittered(wait))
-            former = [entry.record.links for entry in self._roster.former_neighbours()]
-            lost = former + self._lost_seeds()
-            wait = min(wait * 2, self._pace.rejoin_longest)
-            if former or len(self._roster) == 1:
-                wait = self._pace.rejoin_period
-            if lost:
-                # It is not waited for: one that stays silent must not delay the next.
-                address = lost[self._random.randrange(0, len(lost))]
-                self._start(self._syncing.sync_with(address))
-
-    def _lost_seeds(self) -> list[str]:
-        return self._out_of_touch(self._seeds)
-
-    def _out_of_touch(self, links: Sequence[str]) -> list[str]:
-        in_touch = {
+            dead = [entry.record.links for entry in self._roster.dead_neighbours()]
+            unreachable = dead + self._seeds_without_contact()
+            wait = min(wait * 2, self._timings.max_rejoin_period)
+            if dead or len(self._roster) == 1:
+                wait = self._timings.rejoin_period
+            if unreachable:
+                # The loop does not wait: an unresponsive host must not delay the next attempt.
+                address = unreachable[self._random.randrange(0, len(unreachable))]
+                self._start(self._anti_entropy.sync_with(address))
+
+    def _seeds_without_contact(self) -> list[str]:
+        return self._without_contact(self._seeds)
+
+    def _without_contact(self, links: Sequence[str]) -> list[str]:
+        with_contact = {
             entry.record.links
             for entry in self._roster.entries()
             if entry.state is not HostState.DEAD
         }
-        return [address for address in links if address not in in_touch]
+        return [address for address in links if address not in with_contact]
 
     def _publish_load(self, now: float) -> None:
-        shortest = self._roster.size_of_own_place() / self._pace.load_items_per_s
-        longest = max(self._pace.load_period, shortest)
-        changed = abs(self._load - self._published_load) >= self._pace.load_step
-        if now - self._load_at >= (shortest if changed else longest):
-            self._load_at = now
+        min_interval = self._roster.size_of_own_place() / self._timings.load_items_per_s
+        max_interval = max(self._timings.load_period, min_interval)
+        changed = abs(self._load - self._published_load) >= self._timings.load_step
+        if now - self._load_published_at >= (min_interval if changed else max_interval):
+            self._load_published_at = now
             self._load_number += 1
             self._published_load = self._load
             version = (self._roster.own.version.incarnation, self._load_number)
-            item = load_item(LOAD_TOPIC, self._host, version, self._load, self._place)
-            self._spreading.publish(item)
-        if now - self._place_load_at >= self._pace.load_period:
-            self._place_load_at = now
+            item = encode_load(LOAD_TOPIC, self._host, version, self._load, self._place)
+            self._gossip.publish(item)
+        if now - self._place_load_published_at >= self._timings.load_period:
+            self._place_load_published_at = now
             self._publish_place_load()
 
     def _publish_place_load(self) -> None:
-        """Tell other places the mean load of this one, where it falls to this host."""
-        here = [view for view in self.alive() if view.place == self._place]
-        if self._host not in Rings(view.host for view in here).delegates()[:1]:
+        """Publish the mean load of this place, if this host is its first delegate."""
+        local = [view for view in self.alive() if view.place == self._place]
+        if self._host not in Rings(view.host for view in local).delegates()[:1]:
             return
-        mean = sum(view.load for view in here) / len(here)
-        held = self._table.get(PLACE_LOAD_TOPIC, self._place)
-        version = (held.version[0] + 1 if held else 1,)
-        self._spreading.publish(load_item(PLACE_LOAD_TOPIC, self._place, version, mean))
+        mean = sum(view.load for view in local) / len(local)
+        stored = self._table.get(PLACE_LOAD_TOPIC, self._place)
+        version = (stored.version[0] + 1 if stored else 1,)
+        self._gossip.publish(encode_load(PLACE_LOAD_TOPIC, self._place, version, mean))
 
-    def _contacts(self) -> list[Contact]:
+    def _gossip_peers(self) -> list[GossipPeer]:
         return [
-            Contact(entry.host, entry.record.place, entry.record.links)
+            GossipPeer(entry.host, entry.record.place, entry.record.links)
             for entry in self._roster.neighbours()
         ]
 
-    def _on_answer(self, entry: Entry, reply: ProbeReply) -> None:
-        if self._syncing.is_due(entry.host, entry.record.place, reply):
-            self._start(self._syncing.sync_with(entry.record.links))
+    def _on_probe_reply(self, entry: Entry, reply: ProbeReply) -> None:
+        if self._anti_entropy.is_due(entry.host, entry.record.place, reply):
+            self._start(self._anti_entropy.sync_with(entry.record.links))
 
-    def _on_host(self, item: Item) -> None:
+    def _on_host_item(self, item: Item) -> None:
         now = self._clock.now()
         before = self._roster.entry(item.key)
         was_superseded = self._roster.is_superseded
-        answer = self._roster.take(item, now)
-        self._alive = None
+        answer = self._roster.apply(item, now)
+        self._alive_views = None
         if answer is not None:
-            self._spreading.publish(answer.item())
+            self._gossip.publish(answer.to_item())
         after = self._roster.entry(item.key)
         if after is not None and (before is None or before.state is not after.state):
             log_event("INFO", "host_changed", changed=after.host, state=after.state)
@@ -346,23 +354,25 @@
             log_event("ERROR", "host_superseded", incarnation=item.version[0])
 
     async def _answer_probe(self, request: ProbeRequest, peer: Peer) -> Result[ProbeReply, Refusal]:
-        self._spreading.absorb(request.items, peer.host)
-        items = self._spreading.take(peer.place)
+        self._gossip.merge(request.items, peer.host)
+        items = self._gossip.select_items(peer.place)
         reply = ProbeReply(self._host, items, self._table.fleet_digest, self._table.place_digest)
         return Ok(reply)
 
-    async def _answer_ask(self, request: AskRequest, peer: Peer) -> Result[AskReply, Refusal]:
-        if request.timeout > _LONGEST_ASK_S:
-            return Err(Refusal(ErrorKind.MALFORMED, "the timeout is too long", "timeout"))
-        reply = await self._prober.ask(request.host, request.links, request.timeout)
-        return Ok(AskReply(reply is not None))
+    async def _answer_indirect_probe(
+        self, request: IndirectProbeRequest, peer: Peer
+    ) -> Result[IndirectProbeReply, Refusal]:
+        if request.timeout > _MAX_INDIRECT_PROBE_TIMEOUT_S:
+            return Err(Refusal(ErrorKind.MALFORMED, "the timeout exceeds the maximum", "timeout"))
+        reply = await self._prober.probe_once(request.host, request.links, request.timeout)
+        return Ok(IndirectProbeReply(reply is not None))
 
     async def _answer_push(self, request: PushRequest, peer: Peer) -> Result[PushReply, Refusal]:
-        self._spreading.absorb(request.items, peer.host)
+        self._gossip.merge(request.items, peer.host)
         return Ok(PushReply())
 
     def _jittered(self, seconds: float) -> float:
-        return seconds * self._random.uniform(1.0 - _JITTER, 1.0 + _JITTER)
+        return seconds * self._random.uniform(1.0 - _JITTER_FRACTION, 1.0 + _JITTER_FRACTION)
 
     def _start(self, work: Coroutine[Any, Any, _T]) -> asyncio.Task[_T]:
         task = asyncio.get_running_loop().create_task(work)
--- a/cranberrywall/hosts/_ring.py
+++ b/cranberrywall/hosts/_ring.py
@@ -1,10 +1,11 @@
-"""Choose the few hosts with which a host talks, so that its cost does not grow with the fleet.
-
-The hosts of a group stand on four rings, on each in the order of another hash. In a small
-group each talks with every other; in a larger one with those before and behind it on each
-ring. So each has eight neighbours at most and is the neighbour of just these; a host that
-comes or goes changes the neighbours of about eight others; and news crosses the group in a
-few steps, since rings of unlike orders bring any two hosts near each other.
+"""Selection of a host's gossip neighbours, so that its cost does not grow with the fleet.
+
+The hosts of a group are placed on four rings, and each ring is ordered by a different hash. In
+a small group each host communicates with every other host. In a larger group it communicates
+with its predecessor and successor on each ring. So each host has at most eight neighbours, and
+the relation is mutual. A host that joins or leaves changes the neighbours of about eight others.
+Updates reach the whole group in a few steps, because the different orders of the rings keep the
+distance between any two hosts short.
 """
 
 import bisect
@@ -20,7 +21,7 @@
 
 
 class Rings:
-    """Hold the hosts of one group in their orders."""
+    """Rings of the hosts of one group."""
 
     def __init__(self, hosts: Iterable[str] = ()) -> None:
         names = set(hosts)
@@ -32,27 +33,27 @@
         return len(self._rings[0])
 
     def add(self, host: str) -> None:
-        """Put a host on the rings, once."""
+        """Add ``host`` to each ring that does not contain it."""
         for number, ring in enumerate(self._rings):
             position = _position(number, host)
             index = bisect.bisect_left(ring, position)
-            if not _stands_at(ring, index, position):
+            if not _is_at(ring, index, position):
                 ring.insert(index, position)
 
     def remove(self, host: str) -> None:
-        """Take a host off the rings."""
+        """Remove ``host`` from the rings."""
         for number, ring in enumerate(self._rings):
             position = _position(number, host)
             index = bisect.bisect_left(ring, position)
-            if _stands_at(ring, index, position):
+            if _is_at(ring, index, position):
                 del ring[index]
 
     def delegates(self) -> list[str]:
-        """Return the hosts that talk with other groups for this one."""
+        """Return the hosts that communicate with other groups on behalf of this one."""
         return [host for _, host in self._rings[0][:DELEGATES]]
 
     def neighbours(self, host: str) -> list[str]:
-        """Return the hosts with which ``host``, one of the group, talks.
+        """Return the hosts with which ``host``, a member of the group, communicates.
 
         >>> Rings(["a", "b"]).neighbours("a")
         ['b']
@@ -69,7 +70,7 @@
         return list(chosen)
 
 
-def _stands_at(ring: list[_Position], index: int, position: _Position) -> bool:
+def _is_at(ring: list[_Position], index: int, position: _Position) -> bool:
     return index < len(ring) and ring[index] == position
 
 
--- a/cranberrywall/hosts/_static.py
+++ b/cranberrywall/hosts/_static.py
@@ -1,4 +1,4 @@
-"""Take the hosts of the settings as alive, for tests and for a fleet of one host."""
+"""Static membership from settings, for tests and for a fleet of one host."""
 
 from collections.abc import Sequence
 
@@ -6,7 +6,7 @@
 
 
 def make_static_membership(own: HostView, others: Sequence[HostView]) -> Membership:
-    """Return a membership in which every host given is as given, for ever."""
+    """Return a membership whose views never change."""
     return _StaticMembership((own, *others))
 
 
--- a/cranberrywall/hosts/messages.py
+++ b/cranberrywall/hosts/messages.py
@@ -1,4 +1,4 @@
-"""Define what entry hosts send each other to know who is alive."""
+"""Messages that entry hosts exchange for membership and gossip."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -7,10 +7,11 @@
 
 
 class Urgency(IntEnum):
-    """Say how an item spreads.
+    """How an item is disseminated.
 
-    ``VOLATILE`` items are passed on a few times and may miss some hosts. ``NORMAL`` ones
-    reach all, within a few periods. ``URGENT`` ones are pushed from host to host at once.
+    ``VOLATILE`` items are forwarded a few times and may not reach some hosts. ``NORMAL`` items
+    reach all hosts within a few periods. ``URGENT`` items are also pushed from host to host
+    immediately.
     """
 
     VOLATILE = 0
@@ -19,11 +20,11 @@
 
 
 class Item(NamedTuple):
-    """Hold one fact that spreads among the hosts.
+    """One fact that is disseminated among the hosts.
 
-    Of two items with the same ``topic`` and ``key`` the one with the higher ``version`` holds,
-    in whichever order they come. ``place`` is the place in which the item spreads, or empty
-    for all. An empty ``payload`` says that the fact is gone.
+    Of two items with the same ``topic`` and ``key``, the one with the higher ``version`` wins,
+    in whichever order they arrive. ``place`` is the place whose hosts receive the item, or empty
+    for all places. An empty ``payload`` means that the fact was removed.
     """
 
     topic: str
@@ -35,10 +36,10 @@
 
 
 class ProbeRequest(NamedTuple):
-    """Ask whether the host is there, and pass on items.
+    """Probe of a host, with gossip items.
 
-    The digests stand for all lasting items: ``fleet_digest`` for those of all places,
-    ``place_digest`` for those of the sender's place.
+    The digests cover all non-volatile items: ``fleet_digest`` those for all places,
+    ``place_digest`` those for the sender's place.
     """
 
     items: tuple[Item, ...]
@@ -47,7 +48,7 @@
 
 
 class ProbeReply(NamedTuple):
-    """Answer a probe, with the name of the host that answers; the rest is as in the request."""
+    """Answer to a probe; ``host`` is the host that answers, the rest as in ``ProbeRequest``."""
 
     host: str
     items: tuple[Item, ...]
@@ -55,39 +56,39 @@
     place_digest: int
 
 
-class AskRequest(NamedTuple):
-    """Ask a host to probe another, and to wait ``timeout`` seconds for its answer."""
+class IndirectProbeRequest(NamedTuple):
+    """Request that a helper probe ``host`` and wait ``timeout`` seconds for its answer."""
 
     host: str
     links: str
     timeout: float
 
 
-class AskReply(NamedTuple):
-    """Say whether the other host answered."""
+class IndirectProbeReply(NamedTuple):
+    """Result of an indirect probe: whether the probed host answered."""
 
     answered: bool
 
 
 class PushRequest(NamedTuple):
-    """Pass on items at once."""
+    """Items that are sent immediately, without waiting for a probe."""
 
     items: tuple[Item, ...]
 
 
 class PushReply(NamedTuple):
-    """Say that the items came."""
+    """Confirmation that the items arrived."""
 
 
 class SyncRequest(NamedTuple):
-    """Ask for what differs, by the digests of the buckets of items; see ``ProbeRequest``."""
+    """Request for the items that differ, with a digest per bucket; see ``ProbeRequest``."""
 
     fleet_digests: tuple[int, ...]
     place_digests: tuple[int, ...]
 
 
 class SyncReply(NamedTuple):
-    """Name the buckets that differ, and give the answering host's items in them."""
+    """Buckets that differ, and the answering host's items in them."""
 
     host: str
     place: str
@@ -96,6 +97,6 @@
 
 
 PROBE = Method("hosts.probe", ProbeRequest, ProbeReply)
-ASK = Method("hosts.ask", AskRequest, AskReply, is_cancellable=True)
+INDIRECT_PROBE = Method("hosts.ask", IndirectProbeRequest, IndirectProbeReply, is_cancellable=True)
 PUSH = Method("hosts.push", PushRequest, PushReply)
 SYNC = Method("hosts.sync", SyncRequest, SyncReply)
--- a/cranberrywall/links/__init__.py
+++ b/cranberrywall/links/__init__.py
@@ -1,4 +1,4 @@
-"""Call the system's other processes over authenticated streams of msgpack frames."""
+"""Calls between the system's processes, over authenticated streams of msgpack frames."""
 
 from cranberrywall.links._caller import make_caller
 from cranberrywall.links._codec import MalformedMessageError, MessageCodec
--- a/cranberrywall/links/_caller.py
+++ b/cranberrywall/links/_caller.py
@@ -1,4 +1,4 @@
-"""Call other processes: one task for each peer."""
+"""Caller of other processes, with one connection and one task for each peer."""
 
 from typing import Any
 
@@ -9,10 +9,10 @@
 from cranberrywall.links._handshake import Handshake
 from cranberrywall.links._interfaces import LinkCaller, Method, Peer, ReplyT, RequestT
 from cranberrywall.links._limits import Limits
-from cranberrywall.links._outlet import Outlet
+from cranberrywall.links._peer_connection import PeerConnection
 from cranberrywall.runtime import Clock, Network, Random, Timers
 
-_PRUNE_ABOVE = 4096
+_MAX_CONNECTIONS_BEFORE_EVICTION = 4096
 
 
 def make_caller(
@@ -24,7 +24,7 @@
     counters: LinkCounters | None = None,
     limits: Limits | None = None,
 ) -> LinkCaller:
-    """Return a caller that connects to each address when it is first called."""
+    """Return a caller that connects to an address at the first call to it."""
     return _LinkCaller(
         network, clock, random, key, identity, counters or LinkCounters(), limits or Limits()
     )
@@ -48,31 +48,32 @@
         self._limits = limits
         self._timers = Timers(clock)
         self._handshake = Handshake(key, identity, limits.handshake_bytes, counters)
-        self._outlet_by_address: dict[str, Outlet] = {}
+        self._connection_by_address: dict[str, PeerConnection] = {}
 
     async def call(
         self, address: str, method: Method[RequestT, ReplyT], request: RequestT, timeout: float
     ) -> Result[ReplyT, Refusal]:
-        outlet = self._outlet_by_address.get(address) or self._make_outlet(address)
-        return await outlet.call(method, request, self._clock.now() + timeout)
+        connection = self._connection_by_address.get(address) or self._make_connection(address)
+        return await connection.call(method, request, self._clock.now() + timeout)
 
     async def close(self) -> None:
-        for outlet in list(self._outlet_by_address.values()):
-            await outlet.close()
+        for connection in list(self._connection_by_address.values()):
+            await connection.close()
         self._timers.close()
 
     def state(self) -> dict[str, Any]:
         return {
             "peers": {
-                address: outlet.state() for address, outlet in self._outlet_by_address.items()
+                address: connection.state()
+                for address, connection in self._connection_by_address.items()
             },
             "counters": self._counters.state(),
         }
 
-    def _make_outlet(self, address: str) -> Outlet:
-        if len(self._outlet_by_address) > _PRUNE_ABOVE:
-            self._forget_idle()
-        outlet = Outlet(
+    def _make_connection(self, address: str) -> PeerConnection:
+        if len(self._connection_by_address) > _MAX_CONNECTIONS_BEFORE_EVICTION:
+            self._evict_idle()
+        connection = PeerConnection(
             address,
             self._network,
             self._clock,
@@ -82,11 +83,15 @@
             self._counters,
             self._limits,
         )
-        self._outlet_by_address[address] = outlet
-        return outlet
+        self._connection_by_address[address] = connection
+        return connection
 
-    def _forget_idle(self) -> None:
-        # Hosts come and go; without this the addresses of all that ever were would stay.
-        idle = [address for address, outlet in self._outlet_by_address.items() if outlet.is_idle]
+    def _evict_idle(self) -> None:
+        # Hosts join and leave; without eviction the addresses of all former hosts would be kept.
+        idle = [
+            address
+            for address, connection in self._connection_by_address.items()
+            if connection.is_idle
+        ]
         for address in idle:
-            del self._outlet_by_address[address]
+            del self._connection_by_address[address]
--- a/cranberrywall/links/_codec.py
+++ b/cranberrywall/links/_codec.py
@@ -1,4 +1,4 @@
-"""Encode a closed set of message types as tagged msgpack arrays."""
+"""Codec that encodes a fixed set of message types as tagged msgpack arrays."""
 
 from collections.abc import Iterable
 from typing import Any, NamedTuple
@@ -7,7 +7,7 @@
 
 
 class MalformedMessageError(ValueError):
-    """Report bytes that are not a message of the codec's set."""
+    """The bytes are not a message of one of the codec's types."""
 
 
 class _Tagged(NamedTuple):
@@ -16,7 +16,7 @@
 
 
 class MessageCodec:
-    """Encode and decode the ``NamedTuple`` types it was made for.
+    """Encodes and decodes the ``NamedTuple`` types with which it was created.
 
     >>> class Ping(NamedTuple):
     ...     number: int
@@ -36,14 +36,22 @@
         self._envelope = msgspec.msgpack.Decoder(_Tagged)
 
     def encode(self, message: Any) -> bytes:
-        """Return the message's bytes; raise ``ValueError`` for a type outside the set."""
+        """Return the bytes of ``message``.
+
+        Raises:
+            ValueError: the codec does not include the message's type.
+        """
         tag = type(message).__name__
         if tag not in self._decoder_by_tag:
             raise ValueError(f"{tag} is not a message type of this codec")
         return self._encoder.encode([tag, message])
 
     def decode(self, data: bytes) -> Any:
-        """Return the message, or raise ``MalformedMessageError``."""
+        """Return the message in ``data``.
+
+        Raises:
+            MalformedMessageError: the bytes are not a valid message of the codec.
+        """
         try:
             tagged = self._envelope.decode(data)
             return self._decoder_by_tag[tagged.tag].decode(tagged.body)
--- a/cranberrywall/links/_counters.py
+++ b/cranberrywall/links/_counters.py
@@ -1,4 +1,4 @@
-"""Count what passes on the streams and what is dropped, by reason."""
+"""Counters of frames and bytes on the streams, and of drops by reason."""
 
 from collections import Counter
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class DropReason(StrEnum):
-    """Close the list of reasons for which a frame or a connection is dropped."""
+    """Reason for which a frame or a connection is dropped."""
 
     TRUNCATED = "truncated"
     TOO_LARGE = "too_large"
@@ -31,7 +31,7 @@
 
 
 class LinkCounters:
-    """Hold one process's counts; the caller and the server of a process may share them."""
+    """Counters of one process, which its caller and its server may share."""
 
     def __init__(self) -> None:
         self.dropped_by_reason: Counter[DropReason] = Counter()
@@ -45,7 +45,7 @@
         self.dropped_by_reason[reason] += 1
 
     def export(self, metrics: Metrics) -> None:
-        """Let ``metrics`` show the counts."""
+        """Register the counters with ``metrics``."""
         metrics.counters_of(
             "links_dropped",
             "Frames and connections dropped on the streams between processes.",
--- a/cranberrywall/links/_frames.py
+++ b/cranberrywall/links/_frames.py
@@ -1,7 +1,7 @@
-"""Cut streams into frames.
+"""Frames: their format, encoding and decoding.
 
-A frame is its length (4 bytes, big-endian, of all that follows), the version (1 byte), the
-frame's kind (1 byte) and a msgpack array.
+A frame consists of its length (4 bytes, big-endian, of everything after the length),
+the version (1 byte), the frame's kind (1 byte) and a msgpack array.
 """
 
 import asyncio
@@ -18,15 +18,15 @@
 
 _HEADER = struct.Struct(">IBB")
 _LENGTH = struct.Struct(">I")
-_KIND_AND_VERSION_BYTES = 2
-_LONGEST_TIMEOUT_S = 86_400.0
+_VERSION_AND_KIND_BYTES = 2
+_MAX_TIMEOUT_S = 86_400.0
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder_by_type: dict[type, msgspec.msgpack.Decoder[Any]] = {}
 
 
 class FrameKind(IntEnum):
-    """Close the list of frames."""
+    """Kind of a frame, as the number on the wire."""
 
     HELLO = 1
     CHALLENGE = 2
@@ -40,12 +40,12 @@
     PONG = 15
 
 
-# The bounds keep out what is no number, which would upset the order of the timers.
-Timeout = Annotated[float, msgspec.Meta(ge=0, le=_LONGEST_TIMEOUT_S)]
+# The bounds exclude NaN and infinity, which would break the order of the timers.
+Timeout = Annotated[float, msgspec.Meta(ge=0, le=_MAX_TIMEOUT_S)]
 
 
 class CallFrame(NamedTuple):
-    """Ask for one call; ``timeout`` is in seconds from the arrival."""
+    """Request for one call; ``timeout`` is in seconds from its arrival."""
 
     number: int
     method: str
@@ -54,14 +54,14 @@
 
 
 class ReplyFrame(NamedTuple):
-    """Answer call ``number``."""
+    """Reply to call ``number``."""
 
     number: int
     reply: msgspec.Raw
 
 
 class RefusalFrame(NamedTuple):
-    """Refuse call ``number``."""
+    """Refusal of call ``number``."""
 
     number: int
     kind: str
@@ -72,13 +72,13 @@
 
 
 class CancelFrame(NamedTuple):
-    """Say that nobody waits for call ``number`` any more."""
+    """Notice that the caller no longer waits for call ``number``."""
 
     number: int
 
 
 class BadFrameError(Exception):
-    """Report a frame after which the stream cannot be trusted."""
+    """A frame is invalid, so the connection must be closed."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(str(reason))
@@ -86,7 +86,7 @@
 
 
 def encode_frame(kind: FrameKind, body: Any = ()) -> bytes:
-    """Return the frame's bytes; ``body`` is a tuple of what msgpack can carry."""
+    """Return the bytes of a frame; ``body`` is a tuple of values that msgpack can encode."""
     frame = bytearray(_HEADER.size)
     _encoder.encode_into(body, frame, _HEADER.size)
     _HEADER.pack_into(frame, 0, len(frame) - _LENGTH.size, VERSION, kind)
@@ -94,11 +94,13 @@
 
 
 async def read_frame(
-    reader: Reader, most_bytes: int, counters: LinkCounters
+    reader: Reader, max_bytes: int, counters: LinkCounters
 ) -> tuple[int, memoryview] | None:
-    """Return the next frame's kind and body, or ``None`` where the stream ends between frames.
+    """Return the next frame's kind and body, or ``None`` if the stream ends between frames.
 
-    Raise ``BadFrameError`` for one that is cut off, too large or of another version.
+    Raises:
+        BadFrameError: the frame is truncated, larger than ``max_bytes``, malformed or of another
+            version.
     """
     try:
         head = await reader.readexactly(_LENGTH.size)
@@ -107,9 +109,9 @@
             raise BadFrameError(DropReason.TRUNCATED) from error
         return None
     (length,) = _LENGTH.unpack(head)
-    if length > most_bytes:
+    if length > max_bytes:
         raise BadFrameError(DropReason.TOO_LARGE)
-    if length < _KIND_AND_VERSION_BYTES:
+    if length < _VERSION_AND_KIND_BYTES:
         raise BadFrameError(DropReason.MALFORMED_FRAME)
     try:
         data = await reader.readexactly(length)
@@ -119,22 +121,30 @@
         raise BadFrameError(DropReason.BAD_VERSION)
     counters.frames_in += 1
     counters.bytes_in += length + _LENGTH.size
-    return data[1], memoryview(data)[_KIND_AND_VERSION_BYTES:]
+    return data[1], memoryview(data)[_VERSION_AND_KIND_BYTES:]
 
 
 def decode(message_type: type, data: Any) -> Any:
-    """Return the typed message, or raise ``ValueError`` for bytes that are not one."""
+    """Return the message in ``data`` as ``message_type``.
+
+    Raises:
+        ValueError: the bytes are not a valid message of the type.
+    """
     decoder = _decoder_by_type.get(message_type)
     if decoder is None:
         decoder = _decoder_by_type[message_type] = msgspec.msgpack.Decoder(message_type)
     try:
         return decoder.decode(data)
     except RecursionError as error:
-        raise ValueError("nested too deep") from error
+        raise ValueError("the message is nested too deeply") from error
 
 
 def decode_body(message_type: type, body: Any) -> Any:
-    """Return the frame's typed body, or raise ``BadFrameError``."""
+    """Return the frame's body as ``message_type``.
+
+    Raises:
+        BadFrameError: the body is not a valid message of the type.
+    """
     try:
         return decode(message_type, body)
     except ValueError as error:
--- a/cranberrywall/links/_handshake.py
+++ b/cranberrywall/links/_handshake.py
@@ -1,9 +1,9 @@
-"""Prove to each other, on a new connection, that both ends hold the fleet's key.
+"""Handshake of a new connection: both ends prove that they have the fleet's key.
 
-Each end sends a fresh nonce and answers the other's with an HMAC over the version, both
-nonces and both identities. A recorded proof fails against a new nonce, and a proof sent back
-to its maker fails because the two ends' proofs name their role. Over TLS, an identity's host must
-also be one that the certificate at its end names.
+Each end sends a fresh nonce and answers the other end's nonce with an HMAC over the version, both
+nonces and both identities. A replayed proof fails because the nonce is new. A proof that is
+reflected to its sender fails because the proof includes the role of its end. Over TLS, the host in
+an identity must also be one of the hosts in that end's certificate.
 """
 
 import hashlib
@@ -44,37 +44,47 @@
 
 
 class Handshake:
-    """Run either end of the handshake, with what it needs."""
+    """Both ends of the handshake, for one key and one identity."""
 
-    def __init__(self, key: bytes, identity: Peer, most_bytes: int, counters: LinkCounters) -> None:
+    def __init__(self, key: bytes, identity: Peer, max_bytes: int, counters: LinkCounters) -> None:
         self._key = key
         self._identity = identity
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
         self._counters = counters
 
     async def as_client(self, reader: Reader, writer: Writer) -> Peer:
-        """Return the server's identity, or raise ``BadFrameError`` or ``ConnectionError``."""
+        """Run the client's end and return the server's identity.
+
+        Raises:
+            BadFrameError: the server sent an invalid frame, proof or identity.
+            ConnectionError: the connection ended.
+        """
         nonce = secrets.token_bytes(_NONCE_BYTES)
         await self._send(writer, FrameKind.HELLO, _Hello(nonce, self._identity))
         challenge: _Challenge = await self._receive(reader, FrameKind.CHALLENGE, _Challenge)
         session = (nonce, challenge.nonce, self._identity, challenge.server)
-        self._check(challenge.proof, "server", session)
+        self._verify_proof(challenge.proof, "server", session)
         _check_certificate(writer, challenge.server)
-        await self._send(writer, FrameKind.PROOF, _Proof(self._prove("client", session)))
+        await self._send(writer, FrameKind.PROOF, _Proof(self._compute_proof("client", session)))
         await self._receive(reader, FrameKind.WELCOME, tuple)
         return challenge.server
 
     async def as_server(self, reader: Reader, writer: Writer) -> Peer:
-        """Return the client's identity, or raise ``BadFrameError`` or ``ConnectionError``."""
+        """Run the server's end and return the client's identity.
+
+        Raises:
+            BadFrameError: the client sent an invalid frame, proof or identity.
+            ConnectionError: the connection ended.
+        """
         hello: _Hello = await self._receive(reader, FrameKind.HELLO, _Hello)
         if len(hello.nonce) != _NONCE_BYTES:
             raise BadFrameError(DropReason.MALFORMED_FRAME)
         nonce = secrets.token_bytes(_NONCE_BYTES)
         session = (hello.nonce, nonce, hello.client, self._identity)
-        challenge = _Challenge(nonce, self._identity, self._prove("server", session))
+        challenge = _Challenge(nonce, self._identity, self._compute_proof("server", session))
         await self._send(writer, FrameKind.CHALLENGE, challenge)
         proof: _Proof = await self._receive(reader, FrameKind.PROOF, _Proof)
-        self._check(proof.proof, "client", session)
+        self._verify_proof(proof.proof, "client", session)
         _check_certificate(writer, hello.client)
         await self._send(writer, FrameKind.WELCOME, ())
         return hello.client
@@ -87,24 +97,26 @@
         await writer.drain()
 
     async def _receive(self, reader: Reader, kind: FrameKind, body_type: type) -> Any:
-        frame = await read_frame(reader, self._most_bytes, self._counters)
+        frame = await read_frame(reader, self._max_bytes, self._counters)
         if frame is None:
-            raise ConnectionResetError("the peer closed the connection in the handshake")
+            raise ConnectionResetError("the peer closed the connection during the handshake")
         if frame[0] != kind:
             raise BadFrameError(DropReason.UNKNOWN_FRAME)
         return decode_body(body_type, frame[1])
 
-    def _prove(self, role: str, session: tuple[bytes, bytes, Peer, Peer]) -> bytes:
+    def _compute_proof(self, role: str, session: tuple[bytes, bytes, Peer, Peer]) -> bytes:
         text = msgspec.msgpack.encode([role, VERSION, *session])
         return hmac.digest(self._key, text, hashlib.sha256)
 
-    def _check(self, proof: bytes, role: str, session: tuple[bytes, bytes, Peer, Peer]) -> None:
-        if not hmac.compare_digest(proof, self._prove(role, session)):
+    def _verify_proof(
+        self, proof: bytes, role: str, session: tuple[bytes, bytes, Peer, Peer]
+    ) -> None:
+        if not hmac.compare_digest(proof, self._compute_proof(role, session)):
             raise BadFrameError(DropReason.WRONG_PROOF)
 
 
 def _check_certificate(writer: Writer, peer: Peer) -> None:
-    # All hosts hold the one fleet key, so that its proof lets any of them pass for another.
+    # All hosts have the same fleet key, so a proof alone lets any of them impersonate another.
     hosts = writer.peer_hosts() if isinstance(writer, CertifiedWriter) else None
     if hosts is not None and peer.host not in hosts:
         raise BadFrameError(DropReason.WRONG_CERTIFICATE)
--- a/cranberrywall/links/_interfaces.py
+++ b/cranberrywall/links/_interfaces.py
@@ -1,4 +1,4 @@
-"""Define what the other packages use of the streams between processes."""
+"""Interfaces of calls between processes for the other packages."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, Generic, NamedTuple, Protocol, TypeVar
@@ -12,11 +12,12 @@
 
 
 class Method(Generic[RequestT, ReplyT]):
-    """Name one call between processes, with the types of its request and its reply.
+    """Name of one call between processes, with the types of its request and its reply.
 
-    A handler runs to its end, because one that is stopped between two steps can leave a file
-    and the memory at odds. Where ``is_cancellable`` it is cancelled instead once nobody waits
-    for it: at the call's deadline, when the caller gives up, and when the connection ends.
+    By default a handler runs to completion, because a handler that is stopped between two steps
+    can leave a file and the memory inconsistent. If ``is_cancellable`` is set, the handler is
+    cancelled when no caller waits for it: at the call's deadline, when the caller cancels the
+    call, and when the connection ends.
     """
 
     def __init__(
@@ -33,7 +34,7 @@
 
 
 class Peer(NamedTuple):
-    """Identify the authenticated process at the other end: host, place, incarnation."""
+    """Identity of the authenticated process at the other end: host, place, incarnation."""
 
     host: str
     place: str
@@ -44,7 +45,7 @@
 
 
 class Caller(Protocol):
-    """Call other processes."""
+    """Calls other processes."""
 
     async def call(
         self,
@@ -55,32 +56,35 @@
     ) -> Result[ReplyT, Refusal]:
         """Send ``request`` to the process that listens at ``address``.
 
-        ``timeout`` is in seconds and travels with the call, so that the peer sends no answer
-        that nobody waits for, and stops a cancellable method. ``Err`` is ``UNREACHABLE``
-        when nothing was sent, ``TIMEOUT`` when the peer may have acted, or the peer's own
-        refusal.
+        ``timeout`` is in seconds and is sent with the call, so that the peer sends no answer
+        after it and cancels a cancellable method. ``Err`` is ``UNREACHABLE`` if nothing was
+        sent, ``TIMEOUT`` if the peer may have acted, or the peer's own refusal.
         """
         ...
 
 
 class Server(Protocol):
-    """Answer calls from other processes."""
+    """Answers calls from other processes."""
 
     def register(self, method: Method[Any, Any], handler: Handler[Any, Any]) -> None:
-        """Answer ``method`` by ``handler``; a second handler for a name is an error."""
+        """Register ``handler`` for ``method``; a second handler for the same name is an error."""
         ...
 
 
 class LinkServer(Server, Protocol):
-    """Listen for the system's other processes."""
+    """Server with a listener for the system's other processes."""
 
     @property
     def address(self) -> str:
-        """Return ``host:port`` as bound once started."""
+        """Return ``host:port``; after ``start`` it is the address that is bound."""
         ...
 
     async def start(self) -> None:
-        """Listen, or raise ``OSError``; handlers may be registered before and after."""
+        """Start to listen; handlers may be registered before and after.
+
+        Raises:
+            OSError: the address cannot be bound.
+        """
         ...
 
     async def close(self) -> None:
@@ -93,10 +97,10 @@
 
 
 class LinkCaller(Caller, Protocol):
-    """Own the connections to the processes called."""
+    """Caller that owns the connections to the processes it calls."""
 
     async def close(self) -> None:
-        """Close all connections; calls in progress get their refusal."""
+        """Close all connections; calls in progress return a refusal."""
         ...
 
     def state(self) -> dict[str, Any]:
--- a/cranberrywall/links/_limits.py
+++ b/cranberrywall/links/_limits.py
@@ -1,4 +1,4 @@
-"""Bound what a stream may cost this process."""
+"""Limits of the resources that one stream uses in this process."""
 
 from typing import NamedTuple
 
@@ -6,13 +6,13 @@
 
 
 class Limits(NamedTuple):
-    """Hold the bounds of each connection; sizes in bytes, times in seconds.
+    """Limits of each connection; sizes in bytes, times in seconds.
 
-    ``queued_bytes`` and ``calls`` bound one connection's outgoing bytes and calls in
-    progress. ``ping_after`` is the silence after which a caller asks whether the peer is
-    there, and ``silence`` how long it waits for any frame before it gives the connection
-    up. A connection without calls for ``idle_after`` is closed until the next call.
-    ``strangers`` bounds the connections that have not proved themselves yet.
+    ``queued_bytes`` and ``calls`` limit one connection's queued outgoing bytes and its calls in
+    progress. If a peer sends no frame for ``ping_after`` after a call, the caller sends a ping.
+    If no frame arrives for another ``silence``, the caller closes the connection. A connection
+    without calls for ``idle_after`` is closed until the next call. ``strangers`` limits the
+    number of connections that are not authenticated yet.
     """
 
     frame_bytes: int = 16 * 1024 * 1024
@@ -31,7 +31,7 @@
 
 
 def limits_of(settings: Settings) -> Limits:
-    """Return the limits of a process's settings, as ``load_settings`` gave them."""
+    """Return the limits in ``settings``, as ``load_settings`` returned them."""
     streams = settings["streams"]
     return Limits(
         frame_bytes=size_in_bytes(streams["frame"]),
--- a/cranberrywall/links/_outgoing.py
+++ b/cranberrywall/links/_outgoing.py
@@ -1,4 +1,4 @@
-"""Write one connection's frames in batches."""
+"""Writer that sends the frames of one connection in batches."""
 
 import asyncio
 from collections import deque
@@ -10,8 +10,8 @@
 _BATCH_BYTES = 256 * 1024
 
 
-class Outbound:
-    """Hold one frame until it is written; ``frame`` is ``None`` once sent or withdrawn."""
+class QueuedFrame:
+    """Frame that waits to be written; ``frame`` is ``None`` after it is sent or withdrawn."""
 
     __slots__ = ("frame", "sent")
 
@@ -20,33 +20,33 @@
         self.sent = False
 
 
-class Outgoing:
-    """Queue frames, and write all that have gathered at once."""
+class FrameWriter:
+    """Queues frames, and writes all queued frames in one batch."""
 
     def __init__(self, writer: Writer, counters: LinkCounters) -> None:
         self._writer = writer
         self._counters = counters
-        self._queue: deque[Outbound] = deque()
-        self._filled = asyncio.Event()
+        self._queue: deque[QueuedFrame] = deque()
+        self._has_frames = asyncio.Event()
         self._drained = asyncio.Event()
         self.queued_bytes = 0
 
-    def add(self, outbound: Outbound) -> None:
-        """Queue a frame behind the others."""
+    def add(self, outbound: QueuedFrame) -> None:
+        """Append a frame to the queue."""
         assert outbound.frame is not None
         self._queue.append(outbound)
         self.queued_bytes += len(outbound.frame)
-        self._filled.set()
+        self._has_frames.set()
 
-    def withdraw(self, outbound: Outbound) -> None:
-        """Drop a frame that is not sent yet."""
+    def withdraw(self, outbound: QueuedFrame) -> None:
+        """Remove a frame from the queue if it is not sent yet."""
         if outbound.frame is not None:
             self.queued_bytes -= len(outbound.frame)
             outbound.frame = None
 
-    async def below(self, most_bytes: int) -> None:
-        """Wait until at most ``most_bytes`` are queued."""
-        while self.queued_bytes > most_bytes:
+    async def wait_until_below(self, max_bytes: int) -> None:
+        """Wait until at most ``max_bytes`` are queued."""
+        while self.queued_bytes > max_bytes:
             self._drained.clear()
             await self._drained.wait()
 
@@ -56,15 +56,16 @@
         write_timeout: float,
         on_drained: Callable[[], None] = lambda: None,
     ) -> None:
-        """Write until cancelled or the connection ends, and tell of each batch that went.
+        """Write until cancelled or the connection ends; call ``on_drained`` after each batch.
 
-        Raise ``TimeoutError`` where the peer takes nothing for ``write_timeout`` seconds.
+        Raises:
+            TimeoutError: the peer did not read for ``write_timeout`` seconds.
         """
         while True:
-            await self._filled.wait()
-            batch = self._take_batch()
+            await self._has_frames.wait()
+            batch = self._next_batch()
             if not batch:
-                self._filled.clear()
+                self._has_frames.clear()
                 continue
             self._writer.write(batch)
             async with timers.limit(write_timeout):
@@ -72,7 +73,7 @@
             self._drained.set()
             on_drained()
 
-    def _take_batch(self) -> bytes:
+    def _next_batch(self) -> bytes:
         frames = []
         size = 0
         while self._queue and size < _BATCH_BYTES:
--- a/cranberrywall/links/_outlet.py
+++ b/cranberrywall/links/_peer_connection.py
@@ -1,4 +1,4 @@
-"""Keep the connection to one peer, and the calls that wait on it."""
+"""Connection to one peer, with the calls in progress and the queued calls."""
 
 import asyncio
 import itertools
@@ -24,28 +24,28 @@
 from cranberrywall.links._handshake import Handshake
 from cranberrywall.links._interfaces import Method, Peer, ReplyT, RequestT
 from cranberrywall.links._limits import Limits
-from cranberrywall.links._outgoing import Outbound, Outgoing
+from cranberrywall.links._outgoing import FrameWriter, QueuedFrame
 from cranberrywall.links._race import run_until_first
 from cranberrywall.observability import EventLimiter
 from cranberrywall.runtime import Clock, Network, Random, Reader, Timers, Writer
 
 
 class _IdleError(Exception):
-    """Report that a connection was not used for long."""
+    """A connection had no calls for ``Limits.idle_after`` seconds."""
 
 
 class _Pending:
-    """Hold one call that waits for its answer."""
+    """Call that waits for its answer."""
 
     __slots__ = ("answer", "outbound")
 
-    def __init__(self, answer: asyncio.Future[Result[Any, Refusal]], outbound: Outbound) -> None:
+    def __init__(self, answer: asyncio.Future[Result[Any, Refusal]], outbound: QueuedFrame) -> None:
         self.answer = answer
         self.outbound = outbound
 
 
-class Outlet:
-    """Call one address; the connection is made on demand and remade after a loss."""
+class PeerConnection:
+    """Calls one address; connects on demand, and reconnects after the connection is lost."""
 
     def __init__(
         self,
@@ -69,25 +69,25 @@
         self._drops = EventLimiter(clock.now)
         self._task: asyncio.Task[None] | None = None
         self._peer: Peer | None = None
-        self._outgoing: Outgoing | None = None
+        self._outgoing: FrameWriter | None = None
         self._pending_by_number: dict[int, _Pending] = {}
-        # A dict keeps the order of arrival and lets a waiter that gave up be taken out.
+        # A dict preserves the order of arrival, and a waiter that timed out can be removed from it.
         self._waiters: dict[asyncio.Future[Refusal | None], None] = {}
         self._number = 0
         self._failures = 0
         self._dial_not_before = float("-inf")
         self._last_error = ""
         self._is_closed = False
-        self._heard = 0
-        self._asked = asyncio.Event()
+        self._received_frames = 0
+        self._call_started = asyncio.Event()
 
     @property
     def is_idle(self) -> bool:
-        """Say whether there is neither a connection nor an attempt at one."""
+        """Return whether there is neither a connection nor an attempt to connect."""
         return self._task is None
 
     def state(self) -> dict[str, Any]:
-        """Return this peer's state for the dump."""
+        """Return this peer's state for the state dump."""
         return {
             "host": "" if self._peer is None else self._peer.host,
             "connected": self._outgoing is not None,
@@ -101,9 +101,9 @@
     async def call(
         self, method: Method[RequestT, ReplyT], request: RequestT, deadline: float
     ) -> Result[ReplyT, Refusal]:
-        """Send one call and wait for its answer until ``deadline``."""
-        if self._waiters or not self._has_room():
-            refusal = await self._wait_for_room(deadline)
+        """Send one call, and wait until ``deadline`` for its answer."""
+        if self._waiters or not self._has_capacity():
+            refusal = await self._wait_for_capacity(deadline)
             if refusal is not None:
                 return Err(refusal)
         assert self._outgoing is not None
@@ -112,46 +112,48 @@
         timeout = max(0.0, deadline - self._clock.now())
         frame = encode_frame(FrameKind.CALL, (number, method.name, timeout, request))
         if len(frame) > self._limits.frame_bytes:
-            message = f"{method.name} takes {len(frame)} bytes of {self._limits.frame_bytes}"
+            message = (
+                f"{method.name} takes {len(frame)} bytes, the limit is {self._limits.frame_bytes}"
+            )
             return Err(Refusal(ErrorKind.TOO_LARGE, message))
-        result = await self._exchange(number, Outbound(frame), deadline)
+        result = await self._exchange(number, QueuedFrame(frame), deadline)
         if isinstance(result, Err):
             return result
         return self._decode(method, result.ok_value)
 
     async def close(self) -> None:
-        """Close the connection; calls in progress get their refusal."""
+        """Close the connection; calls in progress return a refusal."""
         self._is_closed = True
         self._last_error = "this process is closing"
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def _has_room(self) -> bool:
+    def _has_capacity(self) -> bool:
         return (
             self._outgoing is not None
             and len(self._pending_by_number) < self._limits.calls
             and self._outgoing.queued_bytes <= self._limits.queued_bytes
         )
 
-    async def _wait_for_room(self, deadline: float) -> Refusal | None:
-        """Return ``None`` once the call may go, or the refusal where it may not in time."""
+    async def _wait_for_capacity(self, deadline: float) -> Refusal | None:
+        """Return ``None`` when the call may be sent, or a refusal if that is not in time."""
         refusal = self._connect_on_demand()
         if refusal is not None:
             return refusal
         while True:
             refusal = await self._wait_once(deadline)
-            if refusal is not None or self._has_room():
+            if refusal is not None or self._has_capacity():
                 return refusal
 
     async def _wait_once(self, deadline: float) -> Refusal | None:
         waiter: asyncio.Future[Refusal | None] = asyncio.get_running_loop().create_future()
         self._waiters[waiter] = None
-        timer = self._timers.call_at(deadline, partial(self._give_up_waiting, waiter))
+        timer = self._timers.call_at(deadline, partial(self._time_out_waiter, waiter))
         try:
             return await waiter
         except asyncio.CancelledError:
-            # The room that this one was given goes to the next.
+            # Pass the capacity that this call was given to the next one in the queue.
             self._admit_waiters()
             raise
         finally:
@@ -169,36 +171,40 @@
         self._task = asyncio.get_running_loop().create_task(self._run())
         return None
 
-    def _give_up_waiting(self, waiter: asyncio.Future[Refusal | None]) -> None:
+    def _time_out_waiter(self, waiter: asyncio.Future[Refusal | None]) -> None:
         if waiter.done():
             return
-        reason = "is not connected" if self._outgoing is None else "is slow to take calls"
+        reason = (
+            "is not connected"
+            if self._outgoing is None
+            else "has too many calls in progress or queued bytes"
+        )
         waiter.set_result(Refusal(ErrorKind.UNREACHABLE, f"{self._address} {reason}"))
 
     def _admit_waiters(self) -> None:
-        if not self._waiters or not self._has_room():
+        if not self._waiters or not self._has_capacity():
             return
-        room = self._limits.calls - len(self._pending_by_number)
-        for waiter in list(itertools.islice(self._waiters, room)):
+        capacity = self._limits.calls - len(self._pending_by_number)
+        for waiter in list(itertools.islice(self._waiters, capacity)):
             del self._waiters[waiter]
             if not waiter.done():
                 waiter.set_result(None)
 
     async def _exchange(
-        self, number: int, outbound: Outbound, deadline: float
+        self, number: int, outbound: QueuedFrame, deadline: float
     ) -> Result[msgspec.Raw, Refusal]:
         assert self._outgoing is not None
         outgoing = self._outgoing
         pending = _Pending(asyncio.get_running_loop().create_future(), outbound)
         self._pending_by_number[number] = pending
         outgoing.add(outbound)
-        self._asked.set()
+        self._call_started.set()
         timer = self._timers.call_at(deadline, partial(self._expire, pending))
         try:
             return await pending.answer
         except asyncio.CancelledError:
             if outbound.sent:
-                outgoing.add(Outbound(encode_frame(FrameKind.CANCEL, (number,))))
+                outgoing.add(QueuedFrame(encode_frame(FrameKind.CANCEL, (number,))))
             raise
         finally:
             timer.cancel()
@@ -212,7 +218,10 @@
         if pending.outbound.sent:
             refusal = Refusal(ErrorKind.TIMEOUT, f"{self._address} did not answer in time")
         else:
-            refusal = Refusal(ErrorKind.UNREACHABLE, f"{self._address} is slow to take calls")
+            refusal = Refusal(
+                ErrorKind.UNREACHABLE,
+                f"the call to {self._address} was not sent before the deadline",
+            )
         pending.answer.set_result(Err(refusal))
 
     def _decode(
@@ -222,10 +231,10 @@
             return Ok(decode(method.reply_type, reply))
         except ValueError as error:
             self._counters.drop(DropReason.MALFORMED_REPLY)
-            return Err(Refusal(ErrorKind.INTERNAL, f"the reply to {method.name}: {error}"))
+            return Err(Refusal(ErrorKind.INTERNAL, f"malformed reply to {method.name}: {error}"))
 
     async def _run(self) -> None:
-        """Connect, and serve the connection until it ends."""
+        """Connect, and read and write until the connection ends."""
         writer: Writer | None = None
         is_idle = False
         try:
@@ -257,19 +266,19 @@
             if writer is not None:
                 writer.close()
             if is_idle:
-                self._end_idle()
+                self._close_after_idle()
             else:
-                self._end()
+                self._close_after_failure()
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
-        self._outgoing = Outgoing(writer, self._counters)
-        self._asked.clear()
+        self._outgoing = FrameWriter(writer, self._counters)
+        self._call_started.clear()
         self._admit_waiters()
         await run_until_first(
-            self._read(reader), self._write(self._outgoing), self._watch(self._outgoing)
+            self._read(reader), self._write(self._outgoing), self._monitor(self._outgoing)
         )
 
-    async def _write(self, outgoing: Outgoing) -> None:
+    async def _write(self, outgoing: FrameWriter) -> None:
         try:
             await outgoing.run(self._timers, self._limits.write_timeout, self._admit_waiters)
         except TimeoutError as error:
@@ -280,93 +289,93 @@
             frame = await read_frame(reader, self._limits.frame_bytes, self._counters)
             if frame is None:
                 return
-            # A peer that answers is well; only then is the next loss not a failure in a row.
+            # The peer answered, so the next loss does not count as a consecutive failure.
             self._failures = 0
-            self._heard += 1
-            self._take(*frame)
+            self._received_frames += 1
+            self._handle_frame(*frame)
 
-    def _take(self, kind: int, body: memoryview) -> None:
+    def _handle_frame(self, kind: int, body: memoryview) -> None:
         if kind == FrameKind.REPLY:
             reply = decode_body(ReplyFrame, body)
-            self._settle(reply.number, Ok(reply.reply))
+            self._complete(reply.number, Ok(reply.reply))
         elif kind == FrameKind.REFUSAL:
             refusal: RefusalFrame = decode_body(RefusalFrame, body)
-            self._settle(refusal.number, Err(_refusal_from(refusal)))
+            self._complete(refusal.number, Err(_refusal_from(refusal)))
         elif kind != FrameKind.PONG:
             raise BadFrameError(DropReason.UNKNOWN_FRAME)
 
-    def _settle(self, number: int, result: Result[msgspec.Raw, Refusal]) -> None:
+    def _complete(self, number: int, result: Result[msgspec.Raw, Refusal]) -> None:
         pending = self._pending_by_number.get(number)
         if pending is None or pending.answer.done():
             self._counters.drop(DropReason.LATE_REPLY)
             return
         pending.answer.set_result(result)
 
-    async def _watch(self, outgoing: Outgoing) -> None:
-        """End a connection on which calls go out and nothing comes back.
+    async def _monitor(self, outgoing: FrameWriter) -> None:
+        """End a connection on which calls are sent and no frame is received.
 
-        A cut that drops packets leaves the connection open for minutes, and after the cut
-        is mended its retransmissions come late; a new connection works at once.
+        If a partition drops packets, the connection stays open for minutes. After the partition
+        its retransmissions arrive late, while a new connection works immediately.
         """
         while True:
-            await self._wait_until_asked()
-            heard = self._heard
+            await self._wait_for_call()
+            received_before = self._received_frames
             await self._clock.sleep(self._limits.ping_after)
-            if self._heard != heard:
+            if self._received_frames != received_before:
                 continue
-            outgoing.add(Outbound(encode_frame(FrameKind.PING)))
+            outgoing.add(QueuedFrame(encode_frame(FrameKind.PING)))
             await self._clock.sleep(self._limits.silence)
-            if self._heard == heard:
+            if self._received_frames == received_before:
                 raise BadFrameError(DropReason.SILENT_PEER)
 
-    async def _wait_until_asked(self) -> None:
-        """Wait for the next call, or raise ``_IdleError`` after a long time without any.
+    async def _wait_for_call(self) -> None:
+        """Wait for the next call, or raise ``_IdleError`` after ``idle_after`` without calls.
 
-        Hosts talk now and then with many that they seldom talk with again, as when they
-        join; without the limit, those connections would add up to one with every host.
+        Hosts sometimes call hosts that they rarely call again, for example when they join.
+        Without the limit, each host would finally have a connection to every other host.
         """
         while True:
             try:
                 async with self._timers.limit(self._limits.idle_after):
-                    await self._asked.wait()
-                self._asked.clear()
+                    await self._call_started.wait()
+                self._call_started.clear()
                 return
             except TimeoutError:
                 if not self._pending_by_number:
-                    # From here on, calls wait for the next connection.
+                    # From now on, calls wait for the next connection.
                     self._outgoing = None
                     raise _IdleError from None
 
-    def _end(self) -> None:
-        """Refuse what waits on the connection, and choose when to dial again."""
+    def _close_after_failure(self) -> None:
+        """Refuse all calls of the connection, and set the time of the next dial."""
         self._outgoing = None
         self._task = None
-        self._back_off()
+        self._schedule_backoff()
         for pending in list(self._pending_by_number.values()):
             if not pending.answer.done():
-                pending.answer.set_result(Err(self._lost(pending)))
+                pending.answer.set_result(Err(self._refusal_for(pending)))
         waiters, self._waiters = self._waiters, {}
         for waiter in waiters:
             if not waiter.done():
                 waiter.set_result(Refusal(ErrorKind.UNREACHABLE, self._last_error))
 
-    def _end_idle(self) -> None:
-        """End a connection that nobody used, and make a new one where calls came meanwhile."""
+    def _close_after_idle(self) -> None:
+        """End an idle connection, and reconnect if calls arrived in the meantime."""
         self._task = None
         if self._waiters:
             self._connect_on_demand()
 
-    def _back_off(self) -> None:
+    def _schedule_backoff(self) -> None:
         self._failures += 1
-        longest = min(
+        max_backoff = min(
             self._limits.backoff_most,
             self._limits.backoff_first * 2.0 ** min(self._failures - 1, 16),
         )
-        # Jitter keeps all hosts from dialling a host that came back at one moment.
-        backoff = longest * self._random.uniform(0.5, 1.0)
+        # Jitter prevents that all hosts dial a restarted host at the same moment.
+        backoff = max_backoff * self._random.uniform(0.5, 1.0)
         self._dial_not_before = self._clock.now() + backoff
 
-    def _lost(self, pending: _Pending) -> Refusal:
+    def _refusal_for(self, pending: _Pending) -> Refusal:
         kind = ErrorKind.TIMEOUT if pending.outbound.sent else ErrorKind.UNREACHABLE
         return Refusal(kind, self._last_error)
 
@@ -375,6 +384,6 @@
     try:
         kind = ErrorKind(frame.kind)
     except ValueError:
-        # A newer peer may know kinds that this one does not.
+        # A newer peer may send kinds that this version does not have.
         kind = ErrorKind.INTERNAL
     return Refusal(kind, frame.message, frame.field, frame.remedy, frame.retry_after)
--- a/cranberrywall/links/_race.py
+++ b/cranberrywall/links/_race.py
@@ -1,4 +1,4 @@
-"""Run the tasks that share one connection's fate."""
+"""Runs the tasks of one connection until the first of them ends."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,7 +6,7 @@
 
 
 async def run_until_first(*work: Coroutine[Any, Any, None]) -> None:
-    """Run all until one ends, cancel the others, and raise what the first raised."""
+    """Run all until one ends, cancel the others, and raise the exception of the first."""
     tasks = [asyncio.ensure_future(one) for one in work]
     try:
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
--- a/cranberrywall/links/_served.py
+++ b/cranberrywall/links/_served.py
@@ -1,4 +1,4 @@
-"""Answer the calls of one authenticated connection: one task for each call in progress."""
+"""Server's end of an authenticated connection, with one task for each call in progress."""
 
 import asyncio
 from typing import Any, NamedTuple
@@ -20,23 +20,23 @@
 )
 from cranberrywall.links._interfaces import Handler, Method, Peer
 from cranberrywall.links._limits import Limits
-from cranberrywall.links._outgoing import Outbound, Outgoing
+from cranberrywall.links._outgoing import FrameWriter, QueuedFrame
 from cranberrywall.links._race import run_until_first
 from cranberrywall.observability import log_event
 from cranberrywall.runtime import Clock, Reader, Timers, Writer
 
-_FRAMES_IN_A_ROW = 32
+_MAX_FRAMES_PER_TURN = 32
 
 
 class Registered(NamedTuple):
-    """Pair a method with its handler."""
+    """Method with its handler."""
 
     method: Method[Any, Any]
     handler: Handler[Any, Any]
 
 
-class Shared:
-    """Hold what all connections of one server share."""
+class ServerContext:
+    """State that all connections of one server share."""
 
     def __init__(
         self, clock: Clock, timers: Timers, counters: LinkCounters, limits: Limits
@@ -48,29 +48,29 @@
         self.registered_by_name: dict[str, Registered] = {}
         self._tasks_by_host: dict[str, set[asyncio.Task[None]]] = {}
 
-    def calls_of(self, host: str) -> int:
+    def calls_in_progress(self, host: str) -> int:
         """Return the number of a peer's calls in progress.
 
-        They are counted over its connections: handlers outlast a connection, and a peer
-        that connects again and again must not get new room each time.
+        They are counted over all its connections, because a handler may run longer than its
+        connection, and a peer must not get new capacity each time that it reconnects.
         """
         return len(self._tasks_by_host.get(host, ()))
 
     def start(self, host: str, task: asyncio.Task[None]) -> None:
-        """Count a call until its task ends."""
+        """Count a call of ``host`` until its task ends."""
         tasks = self._tasks_by_host.setdefault(host, set())
         tasks.add(task)
-        task.add_done_callback(lambda _: self._forget(host, task))
+        task.add_done_callback(lambda _: self._remove_task(host, task))
 
     async def cancel_calls(self) -> None:
-        """Cancel all calls and wait for their ends."""
+        """Cancel all calls, and wait until their tasks end."""
         tasks = [task for tasks in self._tasks_by_host.values() for task in tasks]
         tasks = [task for task in tasks if task is not asyncio.current_task()]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _forget(self, host: str, task: asyncio.Task[None]) -> None:
+    def _remove_task(self, host: str, task: asyncio.Task[None]) -> None:
         tasks = self._tasks_by_host[host]
         tasks.discard(task)
         if not tasks:
@@ -78,32 +78,36 @@
 
 
 class ServedConnection:
-    """Read a peer's calls, run their handlers side by side, and write the answers."""
+    """Reads a peer's calls, runs their handlers concurrently, and writes the answers."""
 
-    def __init__(self, peer: Peer, writer: Writer, shared: Shared) -> None:
+    def __init__(self, peer: Peer, writer: Writer, shared: ServerContext) -> None:
         self._peer = peer
         self._shared = shared
         self._clock = shared.clock
         self._timers = shared.timers
         self._counters = shared.counters
         self._limits = shared.limits
-        self._outgoing = Outgoing(writer, shared.counters)
+        self._outgoing = FrameWriter(writer, shared.counters)
         self._cancellable_by_number: dict[int, asyncio.Task[None]] = {}
         self._highest_number = 0
         self._is_open = True
 
     def state(self) -> dict[str, Any]:
-        """Return this connection's state for the dump."""
+        """Return this connection's state for the state dump."""
         return {
             "host": self._peer.host,
             "place": self._peer.place,
             "incarnation": self._peer.incarnation,
-            "calls": self._shared.calls_of(self._peer.host),
+            "calls": self._shared.calls_in_progress(self._peer.host),
             "queued_bytes": self._outgoing.queued_bytes,
         }
 
     async def run(self, reader: Reader) -> None:
-        """Serve until the connection ends; raise ``BadFrameError`` where the peer is at fault."""
+        """Serve until the connection ends.
+
+        Raises:
+            BadFrameError: the peer sent an invalid frame or does not read the answers.
+        """
         try:
             await run_until_first(self._read(reader), self._write())
         finally:
@@ -118,24 +122,24 @@
             raise BadFrameError(DropReason.SLOW_PEER) from error
 
     async def _read(self, reader: Reader) -> None:
-        taken = 0
+        frames_read = 0
         while True:
-            # A peer that sends calls and does not take the answers is not read further,
-            # so that its answers cannot fill this process's memory.
-            await self._outgoing.below(self._limits.queued_bytes)
+            # Stop reading calls from a peer that does not read the answers, so that queued
+            # answers cannot exhaust this process's memory.
+            await self._outgoing.wait_until_below(self._limits.queued_bytes)
             frame = await read_frame(reader, self._limits.frame_bytes, self._counters)
             if frame is None:
                 return
-            self._take(*frame)
-            taken += 1
-            if taken % _FRAMES_IN_A_ROW == 0:
-                # Frames that have arrived are read without a pause: a burst of one peer
-                # would start all its calls before the first of anybody's could go on.
+            self._handle_frame(*frame)
+            frames_read += 1
+            if frames_read % _MAX_FRAMES_PER_TURN == 0:
+                # Reading frames that have arrived does not yield to the event loop. Without
+                # this, a burst of one peer would start all its calls before any other task ran.
                 await asyncio.sleep(0)
 
-    def _take(self, kind: int, body: memoryview) -> None:
+    def _handle_frame(self, kind: int, body: memoryview) -> None:
         if kind == FrameKind.CALL:
-            self._take_call(decode_body(CallFrame, body))
+            self._handle_call(decode_body(CallFrame, body))
         elif kind == FrameKind.CANCEL:
             self._cancel(decode_body(CancelFrame, body).number)
         elif kind == FrameKind.PING:
@@ -143,8 +147,8 @@
         else:
             raise BadFrameError(DropReason.UNKNOWN_FRAME)
 
-    def _take_call(self, call: CallFrame) -> None:
-        # Numbers rise, so that a frame which came twice cannot run its call twice.
+    def _handle_call(self, call: CallFrame) -> None:
+        # Numbers increase, so that a duplicated frame cannot run its call twice.
         if call.number <= self._highest_number:
             self._counters.drop(DropReason.REPEATED_CALL)
             return
@@ -152,10 +156,10 @@
         registered = self._shared.registered_by_name.get(call.method)
         if registered is None:
             self._counters.drop(DropReason.UNKNOWN_METHOD)
-            message = f"no such call: {call.method[:64]}"
+            message = f"unknown method: {call.method[:64]}"
             self._refuse(call.number, Refusal(ErrorKind.MALFORMED, message))
             return
-        if self._shared.calls_of(self._peer.host) >= self._limits.calls:
+        if self._shared.calls_in_progress(self._peer.host) >= self._limits.calls:
             self._counters.drop(DropReason.TOO_MANY_CALLS)
             message = "this peer has too many calls in progress"
             self._refuse(call.number, Refusal(ErrorKind.OVERLOADED, message))
@@ -180,20 +184,20 @@
         self._cancellable_by_number[number] = task
         timer = self._timers.call_at(deadline, task.cancel)
 
-        def forget(_: object) -> None:
+        def on_done(_: object) -> None:
             timer.cancel()
             del self._cancellable_by_number[number]
             if task.cancelled():
                 self._counters.drop(DropReason.EXPIRED_CALL)
 
-        task.add_done_callback(forget)
+        task.add_done_callback(on_done)
 
     async def _answer(
         self, number: int, deadline: float, registered: Registered, request: Any
     ) -> None:
         result = await self._handle(registered, request)
         if not self._is_open or self._clock.now() > deadline:
-            # Nobody waits for this answer any more.
+            # The caller no longer waits for this answer.
             self._counters.drop(DropReason.EXPIRED_CALL)
         elif isinstance(result, Ok):
             self._reply(number, registered, result.ok_value)
@@ -213,11 +217,11 @@
             self._refuse(number, self._report(registered, "reply_not_encodable", error))
             return
         if len(frame) > self._limits.frame_bytes:
-            # The caller would have to drop the connection, and every other call with it.
+            # The caller would have to drop the connection with all its other calls.
             size = ValueError(f"{len(frame)} bytes")
             self._refuse(number, self._report(registered, "reply_too_large", size))
             return
-        self._outgoing.add(Outbound(frame))
+        self._outgoing.add(QueuedFrame(frame))
 
     def _report(self, registered: Registered, event: str, error: Exception) -> Refusal:
         method = registered.method.name
@@ -233,4 +237,4 @@
         self._send(FrameKind.REFUSAL, RefusalFrame(number, *refusal))
 
     def _send(self, kind: FrameKind, body: Any) -> None:
-        self._outgoing.add(Outbound(encode_frame(kind, body)))
+        self._outgoing.add(QueuedFrame(encode_frame(kind, body)))
--- a/cranberrywall/links/_server.py
+++ b/cranberrywall/links/_server.py
@@ -1,4 +1,4 @@
-"""Listen for the system's other processes: one task for each connection."""
+"""Server for the system's other processes, with one task for each connection."""
 
 import asyncio
 from typing import Any
@@ -8,7 +8,7 @@
 from cranberrywall.links._handshake import Handshake
 from cranberrywall.links._interfaces import Handler, LinkServer, Method, Peer
 from cranberrywall.links._limits import Limits
-from cranberrywall.links._served import Registered, ServedConnection, Shared
+from cranberrywall.links._served import Registered, ServedConnection, ServerContext
 from cranberrywall.observability import EventLimiter
 from cranberrywall.runtime import Clock, Listener, Network, Reader, Timers, Writer
 
@@ -22,7 +22,7 @@
     counters: LinkCounters | None = None,
     limits: Limits | None = None,
 ) -> LinkServer:
-    """Return a server that will listen at ``address`` once started."""
+    """Return a server that listens at ``address`` after ``start``."""
     return _LinkServer(
         network, clock, address, key, identity, counters or LinkCounters(), limits or Limits()
     )
@@ -45,12 +45,12 @@
         self._limits = limits
         self._timers = Timers(clock)
         self._handshake = Handshake(key, identity, limits.handshake_bytes, counters)
-        self._shared = Shared(clock, self._timers, counters, limits)
+        self._shared = ServerContext(clock, self._timers, counters, limits)
         self._drops = EventLimiter(clock.now)
         self._listener: Listener | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
         self._connections: set[ServedConnection] = set()
-        self._strangers = 0
+        self._unauthenticated_connections = 0
 
     @property
     def address(self) -> str:
@@ -58,7 +58,7 @@
 
     def register(self, method: Method[Any, Any], handler: Handler[Any, Any]) -> None:
         if method.name in self._shared.registered_by_name:
-            raise ValueError(f"{method.name} has a handler already")
+            raise ValueError(f"{method.name} already has a handler")
         self._shared.registered_by_name[method.name] = Registered(method, handler)
 
     async def start(self) -> None:
@@ -77,7 +77,7 @@
     def state(self) -> dict[str, Any]:
         return {
             "address": self.address,
-            "strangers": self._strangers,
+            "strangers": self._unauthenticated_connections,
             "peers": [connection.state() for connection in self._connections],
             "counters": self._counters.state(),
         }
@@ -91,7 +91,7 @@
         except BadFrameError as error:
             self._drop(error.reason)
         except OSError:
-            # The peer went away, which needs no event: its next calls come on a new connection.
+            # The connection was lost. No event is needed: the peer reconnects for its next calls.
             pass
         finally:
             writer.close()
@@ -109,12 +109,12 @@
             self._connections.discard(connection)
 
     async def _authenticate(self, reader: Reader, writer: Writer) -> Peer | None:
-        # Connections that have not proved themselves are few and short-lived, so that
-        # strangers cannot use up this process's memory or sockets.
-        if self._strangers >= self._limits.strangers:
+        # The number and duration of unauthenticated connections are limited, so that
+        # unauthenticated peers cannot exhaust this process's memory or sockets.
+        if self._unauthenticated_connections >= self._limits.strangers:
             self._drop(DropReason.TOO_MANY_STRANGERS)
             return None
-        self._strangers += 1
+        self._unauthenticated_connections += 1
         try:
             async with self._timers.limit(self._limits.handshake_timeout):
                 return await self._handshake.as_server(reader, writer)
@@ -122,7 +122,7 @@
             self._drop(DropReason.HANDSHAKE_TIMEOUT)
             return None
         finally:
-            self._strangers -= 1
+            self._unauthenticated_connections -= 1
 
     def _drop(self, reason: DropReason) -> None:
         self._counters.drop(reason)
--- a/tests/hosts/test_parts.py
+++ b/tests/hosts/test_parts.py
@@ -1,4 +1,4 @@
-"""Check the parts of membership that stand alone: versions, table, ring."""
+"""Tests of parts of membership on their own: versions, item table and rings."""
 
 from random import Random
 
@@ -8,7 +8,7 @@
 
 from cranberrywall.hosts._entries import ALIVE, DEAD, SUSPECT, HostVersion
 from cranberrywall.hosts._ring import DELEGATES, Rings
-from cranberrywall.hosts._table import BUCKETS, Table
+from cranberrywall.hosts._table import BUCKETS, ItemTable
 from cranberrywall.hosts.messages import Item, Urgency
 
 IN_RISING_ORDER = [
@@ -40,41 +40,41 @@
 def test_the_table_ends_alike_in_whatever_order_and_number_items_come(
     items: list[Item], random: Random
 ):
-    """A naive version takes the highest version of each key from the whole list."""
+    """The expected table has the highest version of each key in the full list."""
     by_key = {item.key: item for item in items}
     items = [item._replace(place=by_key[item.key].place) for item in items]
     shuffled = [*items, *items[::2]]
     random.shuffle(shuffled)
-    one, other = Table("kranj"), Table("kranj")
+    one, other = ItemTable("kranj"), ItemTable("kranj")
     for item in items:
         one.put(item, 0.0)
     for item in shuffled:
         other.put(item, 0.0)
     naive = {key: max(item.version for item in items if item.key == key) for key in by_key}
-    assert {item.key: item.version for item in one.of_topic("target")} == naive
+    assert {item.key: item.version for item in one.items_of_topic("target")} == naive
     assert one.digests() == other.digests()
     assert (one.fleet_digest, one.place_digest) == (other.fleet_digest, other.place_digest)
 
 
 def test_the_table_keeps_out_other_places_items():
-    table = Table("kranj")
+    table = ItemTable("kranj")
     assert not table.put(make_item("a", 1, "domzale"), 0.0)
     assert len(table) == 0
 
 
 def test_differing_buckets_name_what_a_peer_lacks():
-    here, there = Table("kranj"), Table("kranj")
+    here, there = ItemTable("kranj"), ItemTable("kranj")
     for number in range(50):
         here.put(make_item(f"k{number}", 1), 0.0)
         there.put(make_item(f"k{number}", 1), 0.0)
     here.put(make_item("k7", 2), 0.0)
     here.put(make_item("near", 1, "kranj"), 0.0)
     here.put(Item("load", "k8", (1,), b"x", urgency=Urgency.VOLATILE), 0.0)
-    buckets = here.differing(*there.digests(), is_near=True)
+    buckets = here.differing_buckets(*there.digests(), is_near=True)
     assert len(buckets) == 2
-    assert {"k7", "near"} <= {item.key for item in here.in_buckets(buckets, "kranj")}
-    assert len(here.differing(*there.digests(), is_near=False)) == 1
-    assert here.differing((), (), is_near=True) == []
+    assert {"k7", "near"} <= {item.key for item in here.items_in_buckets(buckets, "kranj")}
+    assert len(here.differing_buckets(*there.digests(), is_near=False)) == 1
+    assert here.differing_buckets((), (), is_near=True) == []
     assert len(here.digests()[0]) == BUCKETS
 
 
--- a/tests/hosts/test_spread.py
+++ b/tests/hosts/test_spread.py
@@ -1,9 +1,9 @@
-"""Check that items reach the hosts they are for, within their budget."""
+"""Tests that items reach the hosts for which they are published, within the byte limits."""
 
 import pytest
 
 from cranberrywall.hosts import Item, MembershipTimings, Urgency
-from tests.hosts.fleet import TODAY, Fleet, but, in_fleet
+from tests.hosts.fleet import SMALL_FLEET, Fleet, hosts_except, in_fleet
 
 
 def test_items_reach_all_hosts_of_their_place_and_no_others():
@@ -24,7 +24,7 @@
     in_fleet({"town-hall": 20, "kolonnawa": 20}, test)
 
 
-def test_hosts_know_the_loads_of_their_place_and_the_mean_of_others():
+def test_hosts_receive_the_loads_of_their_place_and_the_mean_of_others():
     async def test(fleet: Fleet):
         for host in fleet:
             host.membership.set_load(0.8 if host.name == "kranj-1" else 0.4)
@@ -39,11 +39,11 @@
         assert load("kranj-2", "kranj-1") == pytest.approx(0.4, abs=0.01)
         assert load("kranj-1", "domzale-1") == pytest.approx(0.6, abs=0.01)
 
-    in_fleet(TODAY, test)
+    in_fleet(SMALL_FLEET, test)
 
 
 def test_pushing_is_bounded_and_what_is_held_back_still_comes():
-    """Two thousand targets leave at once. The hosts may not use up the lines to say so."""
+    """Two thousand targets leave at the same time, and pushes would use up the network links."""
 
     async def test(fleet: Fleet):
         source = fleet["kranj-1"].membership
@@ -58,10 +58,10 @@
         for host in fleet:
             assert len(host.membership.gossip.items("target")) == 2000
 
-    in_fleet(TODAY, test, pace=MembershipTimings(push_burst_bytes=40_000))
+    in_fleet(SMALL_FLEET, test, timings=MembershipTimings(push_burst_bytes=40_000))
 
 
-def test_what_is_gone_is_forgotten():
+def test_removed_items_and_dead_hosts_are_evicted():
     async def test(fleet: Fleet):
         await fleet.crash(fleet["kranj-2"])
         source = fleet["kranj-1"].membership
@@ -69,7 +69,7 @@
         await fleet.clock.sleep(10)
         before = source.state()["items"]
         await fleet.clock.sleep(40)
-        assert fleet.states_of("kranj-2", but(fleet, "kranj-2")) == {None}
+        assert fleet.states_of("kranj-2", hosts_except(fleet, "kranj-2")) == {None}
         assert source.state()["items"] == before - 3
 
-    in_fleet(TODAY, test, pace=MembershipTimings(forget_after=30.0))
+    in_fleet(SMALL_FLEET, test, timings=MembershipTimings(dead_retention=30.0))
--- a/tests/links/pair.py
+++ b/tests/links/pair.py
@@ -1,4 +1,4 @@
-"""Join callers and a server over a network in memory, in virtual time."""
+"""Callers and a server on an in-memory network, in virtual time."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -42,7 +42,7 @@
 
 
 class Pair:
-    """Hold a server that works as asked, callers of it, and what came of the work."""
+    """A server whose handlers do the requested work, callers of it, and a record of the work."""
 
     def __init__(self, limits: Limits | None = None, rule: Rule | None = None) -> None:
         self.clock = VirtualClock()
@@ -94,7 +94,7 @@
     limits: Limits | None = None,
     rule: Rule | None = None,
 ) -> None:
-    """Run ``test`` with a started pair."""
+    """Run ``test`` with a pair whose server is started."""
 
     async def main() -> None:
         pair = Pair(limits, rule)
--- a/tests/links/test_calls.py
+++ b/tests/links/test_calls.py
@@ -1,4 +1,4 @@
-"""Check calls between processes, and their refusals."""
+"""Tests of calls between processes, and of their refusals."""
 
 import asyncio
 from typing import Any, NamedTuple
@@ -66,7 +66,7 @@
     return Ok(Unsendable(object()))
 
 
-def test_refusals_travel_whole():
+def test_refusals_arrive_complete():
     async def test(pair: Pair):
         refuse = Method("test.refuse", Work, Done)
         pair.server.register(refuse, _refuse)
@@ -107,7 +107,7 @@
     in_pair(test, Limits(frame_bytes=4000))
 
 
-def test_the_answer_to_a_call_given_up_is_not_sent():
+def test_the_answer_to_a_call_that_timed_out_is_not_sent():
     async def test(pair: Pair):
         assert kind_of(await pair.work(Work("late", 0.5), 0.2)) is ErrorKind.TIMEOUT
         await pair.clock.sleep(1)
@@ -117,7 +117,7 @@
     in_pair(test)
 
 
-def test_an_answer_under_way_when_the_caller_gives_up_is_dropped():
+def test_an_answer_in_flight_when_the_caller_times_out_is_dropped():
     async def test(pair: Pair):
         await pair.work(Work("connect"))
         pair.fabric.set_rule(SERVER_IP, CALLER_IP, Rule(delay=0.5))
@@ -128,23 +128,23 @@
     in_pair(test)
 
 
-def test_only_cancellable_work_is_stopped_when_nobody_waits():
+def test_only_cancellable_work_is_stopped_when_no_caller_waits():
     async def test(pair: Pair):
         for method in (WORK, CANCELLABLE):
             call = pair.caller.call(ADDRESS, method, Work(f"deadline {method.name}", 1.0), 0.5)
             assert kind_of(await call) is ErrorKind.TIMEOUT
-            leaving = asyncio.ensure_future(
+            cancelled = asyncio.ensure_future(
                 pair.caller.call(ADDRESS, method, Work(f"cancel {method.name}", 1.0), 5.0)
             )
             await pair.clock.sleep(0.1)
-            leaving.cancel()
+            cancelled.cancel()
             await pair.clock.sleep(2.0)
-            cut_off = asyncio.ensure_future(
+            interrupted = asyncio.ensure_future(
                 pair.caller.call(ADDRESS, method, Work(f"reset {method.name}", 1.0), 5.0)
             )
             await pair.clock.sleep(0.1)
             pair.fabric.drop(CALLER_IP, SERVER_IP)
-            assert kind_of(await cut_off) is ErrorKind.TIMEOUT
+            assert kind_of(await interrupted) is ErrorKind.TIMEOUT
             await pair.clock.sleep(2.0)
         assert len(pair.started) == 6
         assert pair.finished == [f"{end} test.work" for end in ("deadline", "cancel", "reset")]
@@ -153,9 +153,9 @@
 
 
 def test_too_many_calls_of_one_peer_are_refused_also_over_new_connections():
-    """One peer's handlers hang; it loses its connection, comes back and calls on.
+    """One peer's handlers hang; the peer loses its connection, reconnects and calls again.
 
-    Without a count over connections each one would bring room for as many handlers again.
+    Without a count over all connections, each new one would allow as many handlers again.
     """
 
     async def test(pair: Pair):
@@ -171,7 +171,7 @@
     in_pair(test, Limits(calls=4))
 
 
-def test_the_caller_waits_for_room_within_its_deadline():
+def test_the_caller_waits_for_capacity_within_its_deadline():
     async def test(pair: Pair):
         first = [asyncio.ensure_future(pair.work(Work("first", 0.5), 5.0)) for _ in range(2)]
         await pair.clock.sleep(0.01)
@@ -185,12 +185,12 @@
     in_pair(test, Limits(calls=2))
 
 
-def test_calls_that_gave_up_waiting_hold_up_nobody():
+def test_calls_that_timed_out_waiting_delay_no_other_call():
     async def test(pair: Pair):
         first = asyncio.ensure_future(pair.work(Work("first", 0.5), 5.0))
         await pair.clock.sleep(0.01)
-        hurried = [asyncio.ensure_future(pair.work(Work("hurried"), 0.1)) for _ in range(3)]
-        for result in await asyncio.gather(*hurried):
+        short_deadline = [asyncio.ensure_future(pair.work(Work("hurried"), 0.1)) for _ in range(3)]
+        for result in await asyncio.gather(*short_deadline):
             assert kind_of(result) is ErrorKind.UNREACHABLE
         await first
         assert isinstance(await pair.work(Work("after"), 0.2), Ok)
@@ -198,11 +198,11 @@
     in_pair(test, Limits(calls=1))
 
 
-def test_room_given_to_a_call_that_is_cancelled_goes_to_the_next():
+def test_capacity_given_to_a_call_that_is_cancelled_goes_to_the_next():
     async def test(pair: Pair):
         async def work_then_cancel() -> None:
             await pair.work(Work("first", 0.5), 5.0)
-            # The room of the first call has just been given to the second.
+            # The capacity of the first call has just been given to the second.
             second.cancel()
 
         first = asyncio.ensure_future(work_then_cancel())
--- a/tests/links/test_failures.py
+++ b/tests/links/test_failures.py
@@ -1,4 +1,4 @@
-"""Cause losses, cuts and slow peers on the streams."""
+"""Tests of lost connections, partitions and slow peers."""
 
 import asyncio
 
@@ -26,20 +26,20 @@
 from tests.links.test_calls import kind_of
 
 
-def test_nobody_listens_then_somebody_does():
-    """A host is down: calls fail at once as unreachable, also while the next dial waits.
+def test_no_process_listens_then_one_does():
+    """A host is down: calls fail immediately as unreachable, also during the backoff.
 
-    When it is back, a call succeeds within the longest back-off.
+    When it is back, a call succeeds within the longest backoff.
     """
 
     async def test(pair: Pair):
         await pair.server.close()
-        began = pair.clock.now()
+        started_at = pair.clock.now()
         for _ in range(50):
             result = await pair.work(Work("a"))
             assert kind_of(result) is ErrorKind.UNREACHABLE
             await pair.clock.sleep(0.05)
-        assert pair.clock.now() - began == pytest.approx(50 * 0.05)
+        assert pair.clock.now() - started_at == pytest.approx(50 * 0.05)
         pair.server = pair.make_server()
         await pair.server.start()
         await pair.clock.sleep(pair.limits.backoff_most)
@@ -48,12 +48,12 @@
     in_pair(test)
 
 
-def test_a_dial_over_a_cut_is_unreachable_at_the_deadline():
+def test_a_dial_during_a_partition_is_unreachable_at_the_deadline():
     async def test(pair: Pair):
         pair.fabric.cut(CALLER_IP, SERVER_IP)
-        began = pair.clock.now()
+        started_at = pair.clock.now()
         assert kind_of(await pair.work(Work("a"), 0.3)) is ErrorKind.UNREACHABLE
-        assert pair.clock.now() - began == pytest.approx(0.3)
+        assert pair.clock.now() - started_at == pytest.approx(0.3)
         assert pair.started == []
 
     in_pair(test)
@@ -72,11 +72,11 @@
 
 
 @pytest.mark.parametrize("direction", ["there", "back", "both"])
-def test_a_silent_cut_is_noticed_and_a_new_connection_made_after_it(direction: str):
-    """Packets are dropped for 20 s, in one direction or both, and no end is closed.
+def test_a_partition_without_resets_is_detected_and_a_new_connection_made_after_it(direction: str):
+    """Packets are dropped for 20 s, in one direction or both, and neither end is closed.
 
-    Calls time out meanwhile. When the cut is mended, calls must work within the longest
-    back-off and a dial: waiting for the old connection's retransmissions would take longer.
+    Calls time out in the meantime. After the partition, calls must work within the longest
+    backoff and a dial: waiting for the old connection's retransmissions would take longer.
     """
 
     async def test(pair: Pair):
@@ -98,8 +98,8 @@
     in_pair(test, rule=Rule(delay=0.001))
 
 
-def test_a_halved_connection_is_given_up():
-    """A host on the way forgets the connection: what goes out vanishes, and no reset comes."""
+def test_a_half_open_connection_is_closed():
+    """A router drops the connection's state: sent data is lost, and no reset arrives."""
 
     async def test(pair: Pair):
         await pair.work(Work("before"))
@@ -112,9 +112,9 @@
 
 
 def test_a_call_that_never_left_the_queue_is_unreachable():
-    """A peer's reading stops: what is written waits in the buffers, and the rest in the queue.
+    """A peer stops reading: written data stays in the buffers, and the rest in the queue.
 
-    The calls whose bytes were handed on are in doubt; the others surely did not run.
+    The outcome of calls whose bytes were written is unknown; the others cannot have run.
     """
 
     async def test(pair: Pair):
@@ -131,7 +131,7 @@
 
 
 def test_chunks_that_come_twice_never_run_a_call_twice():
-    """A faulty network doubles bytes: frames come twice, or the stream turns to nonsense."""
+    """A faulty network duplicates bytes: frames arrive twice, or the stream becomes invalid."""
 
     async def test(pair: Pair):
         await pair.work(Work("connect"))
@@ -144,8 +144,8 @@
     in_pair(test)
 
 
-async def _deaf_peer(pair: Pair, calls: int) -> None:
-    """Authenticate, send calls with large answers in one burst, and never read them."""
+async def _connect_unresponsive_reader(pair: Pair, calls: int) -> None:
+    """Authenticate, send a burst of calls with large answers, and never read the answers."""
     reader, writer = await pair.fabric.network(OTHER_IP).dial(ADDRESS, 1.0)
     handshake = Handshake(KEY, Peer("deaf", "kranj", 1), 2048, pair.caller_counters)
     await handshake.as_client(reader, writer)
@@ -154,12 +154,12 @@
         writer.write(encode_frame(FrameKind.CALL, body))
 
 
-def test_a_peer_that_does_not_read_is_bounded_then_dropped_and_harms_nobody():
+def test_a_peer_that_does_not_read_is_bounded_then_dropped_and_harms_no_other_peer():
     async def test(pair: Pair):
-        await _deaf_peer(pair, calls=200)
+        await _connect_unresponsive_reader(pair, calls=200)
         await pair.clock.sleep(1)
-        [deaf] = pair.server.state()["peers"]
-        assert deaf["queued_bytes"] < 5_000_000
+        [peer_state] = pair.server.state()["peers"]
+        assert peer_state["queued_bytes"] < 5_000_000
         assert isinstance(await pair.work(Work("other")), Ok)
         await pair.clock.sleep(pair.limits.write_timeout)
         assert pair.dropped()[DropReason.SLOW_PEER] == 1
@@ -169,7 +169,7 @@
 
 
 def test_many_hosts_redial_at_different_moments():
-    """A host comes back and all others dial it; with equal back-offs they would all at once."""
+    """All hosts redial a restarted host; with equal backoffs they would dial at the same time."""
 
     async def test(pair: Pair):
         await pair.server.close()
@@ -198,9 +198,9 @@
 
 
 def test_an_idle_connection_is_closed_and_made_again_without_a_failed_call():
-    """A host joins by another and does not call it again for long.
+    """A host joins through another host and does not call it again for a long time.
 
-    With 1,700 hosts that join by the same few, each of these would keep 1,700 connections.
+    If 1,700 hosts join through the same few, each of these would keep 1,700 connections.
     """
 
     async def test(pair: Pair):
@@ -215,22 +215,22 @@
 
 
 def test_a_call_at_the_very_moment_of_an_idle_end_goes_through():
-    """A connection is being closed as idle, over a few turns of the event loop; a call comes."""
+    """A call arrives while an idle connection closes, over a few turns of the event loop."""
 
     async def test(pair: Pair):
         await pair.work(Work("a"))
-        [link] = pair.caller._outlet_by_address.values()  # type: ignore[attr-defined]  # the moment shows only inside
-        wait_until_asked = link._wait_until_asked
+        [link] = pair.caller._connection_by_address.values()  # type: ignore[attr-defined]  # the moment shows only inside
+        wait_for_call = link._wait_for_call
         calls = []
 
         async def call_as_it_ends() -> None:
             try:
-                await wait_until_asked()
+                await wait_for_call()
             except Exception:
                 calls.append(asyncio.ensure_future(pair.work(Work("b"))))
                 raise
 
-        link._wait_until_asked = call_as_it_ends
+        link._wait_for_call = call_as_it_ends
         await pair.clock.sleep(pair.limits.idle_after * 1.5)
         assert await asyncio.gather(*calls) == [Ok(Done("b"))]
 
--- a/tests/links/test_strangers.py
+++ b/tests/links/test_strangers.py
@@ -1,4 +1,4 @@
-"""Send what no honest peer sends: each is counted by reason and harms nobody else."""
+"""Tests of invalid input: each case is counted by reason and harms no other peer."""
 
 import asyncio
 import struct
@@ -73,18 +73,18 @@
 
 
 @pytest.mark.parametrize(("name", "data", "reason"), MALFORMED)
-def test_each_malformed_frame_is_counted_and_harms_nobody(
+def test_each_malformed_frame_is_counted_and_harms_no_other_peer(
     name: str, data: bytes, reason: DropReason
 ):
     async def test(pair: Pair):
-        honest = asyncio.ensure_future(pair.work(Work("honest", 0.5)))
+        valid_call = asyncio.ensure_future(pair.work(Work("honest", 0.5)))
         _, writer = await authenticate(pair)
         writer.write(data)
         await pair.clock.sleep(0.1)
         writer.close()
         await pair.clock.sleep(0.1)
         assert pair.dropped()[reason] == 1
-        assert isinstance(await honest, Ok)
+        assert isinstance(await valid_call, Ok)
         assert len(pair.server.state()["peers"]) == 1
 
     in_pair(test)
@@ -102,15 +102,15 @@
             writer.write(chunk)
         await pair.clock.sleep(1)
         writer.close()
-        _, stranger = await pair.fabric.network(OTHER_IP).dial(ADDRESS, 1.0)
-        stranger.write(b"".join(chunks))
+        _, unauthenticated = await pair.fabric.network(OTHER_IP).dial(ADDRESS, 1.0)
+        unauthenticated.write(b"".join(chunks))
         await pair.clock.sleep(1)
         assert isinstance(await pair.work(Work("honest")), Ok)
 
     in_pair(test)
 
 
-def test_a_stranger_that_says_nothing_is_dropped_and_a_crowd_of_them_is_bounded():
+def test_an_unresponsive_unauthenticated_peer_is_dropped_and_their_number_is_bounded():
     async def test(pair: Pair):
         network = pair.fabric.network(OTHER_IP)
         for _ in range(5):
@@ -126,37 +126,37 @@
 
 def test_a_caller_with_another_key_is_refused_by_both_ends():
     async def test(pair: Pair):
-        stranger = pair.make_caller(OTHER_IP, key=b"j" * 32)
-        result = await stranger.call(ADDRESS, WORK, Work("a"), 1.0)
+        unauthenticated = pair.make_caller(OTHER_IP, key=b"j" * 32)
+        result = await unauthenticated.call(ADDRESS, WORK, Work("a"), 1.0)
         assert kind_of(result) is ErrorKind.UNREACHABLE
-        await stranger.close()
+        await unauthenticated.close()
         assert pair.started == []
 
     in_pair(test)
 
 
-Meddler = Callable[[int, Any], Any]
+FrameChange = Callable[[int, Any], Any]
 
 
-async def _pass_on(
-    reader: Reader, writer: Writer, pair: Pair, meddle: Callable[[int, Any], Any]
+async def _forward(
+    reader: Reader, writer: Writer, pair: Pair, change: Callable[[int, Any], Any]
 ) -> None:
-    """Read frames, change them by ``meddle``, and send them on."""
+    """Read frames, apply ``change`` to their bodies, and forward them."""
     while True:
         frame = await read_frame(reader, 4096, pair.caller_counters)
         if frame is None:
             return
-        body = meddle(frame[0], msgspec.msgpack.decode(frame[1]))
+        body = change(frame[0], msgspec.msgpack.decode(frame[1]))
         writer.write(encode_frame(FrameKind(frame[0]), body))
 
 
-def through_meddler(pair: Pair, meddle: Meddler) -> Awaitable[Any]:
-    """Call through a host in the middle that changes frames."""
+def call_through_proxy(pair: Pair, change: FrameChange) -> Awaitable[Any]:
+    """Call through a proxy that changes frames."""
 
     async def on_connect(reader: Reader, writer: Writer) -> None:
         far_reader, far_writer = await pair.fabric.network(OTHER_IP).dial(ADDRESS, 1.0)
-        there = _pass_on(reader, far_writer, pair, meddle)
-        back = _pass_on(far_reader, writer, pair, meddle)
+        there = _forward(reader, far_writer, pair, change)
+        back = _forward(far_reader, writer, pair, change)
         await asyncio.gather(there, back, return_exceptions=True)
 
     async def run() -> Any:
@@ -181,16 +181,16 @@
 def _reflect(kind: int, body: Any) -> Any:
     """Answer the server's challenge with the server's own proof."""
     if kind == FrameKind.CHALLENGE:
-        _reflect.proof = body[2]  # type: ignore[attr-defined]  # kept for the next frame
+        _reflect.proof = body[2]  # type: ignore[attr-defined]  # stored for the next frame
     if kind == FrameKind.PROOF:
-        return [_reflect.proof]  # type: ignore[attr-defined]  # kept above
+        return [_reflect.proof]  # type: ignore[attr-defined]  # stored above
     return body
 
 
-@pytest.mark.parametrize("meddle", [_other_host, _other_server, _reflect])
-def test_changed_identities_and_reflected_proofs_are_refused(meddle: Meddler):
+@pytest.mark.parametrize("change", [_other_host, _other_server, _reflect])
+def test_changed_identities_and_reflected_proofs_are_refused(change: FrameChange):
     async def test(pair: Pair):
-        assert kind_of(await through_meddler(pair, meddle)) is ErrorKind.UNREACHABLE
+        assert kind_of(await call_through_proxy(pair, change)) is ErrorKind.UNREACHABLE
         drops = pair.counters.dropped_by_reason + pair.caller_counters.dropped_by_reason
         assert drops[DropReason.WRONG_PROOF] == 1
         assert pair.started == []
@@ -199,7 +199,7 @@
 
 
 def test_a_recorded_handshake_is_refused_when_played_again():
-    """A listener on the wire records an honest handshake and plays it to the server later."""
+    """An eavesdropper records a valid handshake and replays it to the server later."""
 
     async def test(pair: Pair):
         recorded: dict[int, Any] = {}
@@ -208,7 +208,7 @@
             recorded[kind] = body
             return body
 
-        assert isinstance(await through_meddler(pair, record), Ok)
+        assert isinstance(await call_through_proxy(pair, record), Ok)
         reader, writer = await pair.fabric.network(CALLER_IP).dial(ADDRESS, 1.0)
         for kind in (FrameKind.HELLO, FrameKind.PROOF):
             writer.write(encode_frame(kind, recorded[kind]))
@@ -218,7 +218,7 @@
     in_pair(test)
 
 
-NONSENSE = [
+INVALID_ANSWERS = [
     ("another version", raw(FrameKind.PONG, b"\x90", version=9), DropReason.BAD_VERSION),
     ("a call to a caller", call(), DropReason.UNKNOWN_FRAME),
     ("no msgpack", raw(FrameKind.REPLY, b"\xc1"), DropReason.MALFORMED_FRAME),
@@ -227,8 +227,8 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "data", "reason"), NONSENSE)
-def test_a_server_that_speaks_nonsense_leaves_the_call_in_doubt_and_other_calls_whole(
+@pytest.mark.parametrize(("name", "data", "reason"), INVALID_ANSWERS)
+def test_a_server_that_sends_invalid_frames_leaves_the_call_in_doubt_and_other_calls_intact(
     name: str, data: bytes, reason: DropReason
 ):
     async def test(pair: Pair):
@@ -240,10 +240,10 @@
             await pair.clock.sleep(5)
 
         listener = await pair.fabric.network(OTHER_IP).listen(f"{OTHER_IP}:9", on_connect)
-        honest = asyncio.ensure_future(pair.work(Work("honest", 0.5)))
+        valid_call = asyncio.ensure_future(pair.work(Work("honest", 0.5)))
         result = await pair.caller.call(listener.address, WORK, Work("a"), 1.0)
         assert kind_of(result) is ErrorKind.TIMEOUT
         assert pair.caller_counters.dropped_by_reason[reason] == 1
-        assert isinstance(await honest, Ok)
+        assert isinstance(await valid_call, Ok)
 
     in_pair(test)
