--- a/cranberrywall/runtime/__init__.py
+++ b/cranberrywall/runtime/__init__.py
@@ -1,4 +1,4 @@
-"""Reach time, network, files and chance only through interfaces that tests replace."""
+"""Interfaces to clock, network, storage and random numbers, which tests replace."""
 
 from cranberrywall.runtime._clock import make_clock
 from cranberrywall.runtime._interfaces import (
--- a/cranberrywall/runtime/_clock.py
+++ b/cranberrywall/runtime/_clock.py
@@ -1,4 +1,4 @@
-"""Read the machine's clocks."""
+"""System implementation of the clock interface."""
 
 import asyncio
 import time
@@ -7,7 +7,7 @@
 
 
 def make_clock() -> Clock:
-    """Return the machine's clock."""
+    """Return a clock that reads the system's monotonic and wall clocks."""
     return _SystemClock()
 
 
--- a/cranberrywall/runtime/_interfaces.py
+++ b/cranberrywall/runtime/_interfaces.py
@@ -1,4 +1,4 @@
-"""Define the interfaces to the outside: time, network, files and chance."""
+"""Interfaces to the system: clock, network, storage and random numbers."""
 
 import ssl
 from collections.abc import Awaitable, Callable, Sequence
@@ -8,66 +8,72 @@
 
 
 class Clock(Protocol):
-    """Give the present time."""
+    """Source of the current time."""
 
     def now(self) -> float:
-        """Return monotonic seconds; only differences mean anything."""
+        """Return monotonic time in seconds; only differences between two results are meaningful."""
         ...
 
     def wall(self) -> float:
-        """Return seconds since the Unix epoch; it may jump either way."""
+        """Return seconds since the Unix epoch; the value may jump forward or backward."""
         ...
 
     async def sleep(self, seconds: float) -> None:
-        """Wait for ``seconds``."""
+        """Suspend the calling task for ``seconds``."""
         ...
 
 
 class Reader(Protocol):
-    """Read bytes from a connection."""
+    """Reading side of a connection."""
 
     async def readexactly(self, count: int) -> bytes:
-        """Return ``count`` bytes, or raise ``asyncio.IncompleteReadError``."""
+        """Return exactly ``count`` bytes.
+
+        Raises ``asyncio.IncompleteReadError`` if the connection ends before that.
+        """
         ...
 
 
 class Writer(Protocol):
-    """Write bytes to a connection."""
+    """Writing side of a connection."""
 
     def write(self, data: bytes) -> None:
-        """Queue ``data``."""
+        """Queue ``data`` for sending."""
         ...
 
     async def drain(self) -> None:
-        """Wait until the peer keeps up; raise ``ConnectionError`` when it is gone."""
+        """Wait until the send buffer has capacity.
+
+        Raises ``ConnectionError`` if the connection is lost.
+        """
         ...
 
     def close(self) -> None:
-        """Close both directions."""
+        """Close both directions of the connection."""
         ...
 
 
 @runtime_checkable
 class CertifiedWriter(Protocol):
-    """Tell what the certificate at the other end of a connection proves.
+    """Writer that returns the host names in the peer's TLS certificate.
 
-    A writer of a network without TLS need not have this.
+    Writers of a network without TLS need not implement this protocol.
     """
 
     def peer_hosts(self) -> frozenset[str] | None:
-        """Return the host names of the other's certificate; ``None`` without TLS."""
+        """Return the host names in the peer's certificate, or ``None`` without TLS."""
         ...
 
 
 class StreamContexts(Protocol):
-    """Give the TLS contexts for connections that begin now."""
+    """Source of the current TLS contexts for new connections."""
 
     def server(self) -> ssl.SSLContext:
-        """Return the context to listen with; it lasts as long as the listener."""
+        """Return the context for a listener, which uses it until it is closed."""
         ...
 
     def client(self) -> ssl.SSLContext:
-        """Return the context to dial with, for one connection."""
+        """Return the context for one outgoing connection."""
         ...
 
 
@@ -75,104 +81,116 @@
 
 
 class Listener(Protocol):
-    """Accept connections."""
+    """Listening socket that accepts connections."""
 
     @property
     def address(self) -> str:
-        """Return ``host:port`` as bound; port 0 has become the real one."""
+        """Return the bound ``host:port``; port 0 is replaced by the assigned port."""
         ...
 
     async def close(self) -> None:
-        """Stop accepting."""
+        """Stop accepting connections."""
         ...
 
 
 class Network(Protocol):
-    """Dial and listen; addresses are ``host:port`` with an IP number."""
+    """Factory of outgoing connections and listeners.
+
+    Addresses are ``host:port``, and ``host`` is an IP address.
+    """
 
     async def dial(self, address: str, timeout: float) -> tuple[Reader, Writer]:
-        """Connect, or raise ``OSError`` (``TimeoutError`` after ``timeout`` seconds)."""
+        """Connect to ``address``.
+
+        Raises ``OSError`` on failure (``TimeoutError`` after ``timeout`` seconds).
+        """
         ...
 
     async def listen(self, address: str, on_connect: OnConnect) -> Listener:
-        """Call ``on_connect`` in a task of its own for each connection."""
+        """Accept connections and call ``on_connect`` in a separate task for each of them."""
         ...
 
 
 class AppendFile(Protocol):
-    """Append to one file; bytes last only once ``sync`` has returned."""
+    """File open for appending; appended bytes are durable only after ``sync`` returns."""
 
     def append(self, data: bytes) -> None:
-        """Write ``data`` at the end, or raise ``OSError``."""
+        """Write ``data`` at the end of the file; raise ``OSError`` on failure."""
         ...
 
     def sync(self) -> None:
-        """Make all that was appended durable, or raise ``OSError``."""
+        """Make all appended bytes durable; raise ``OSError`` on failure."""
         ...
 
     def close(self) -> None:
-        """Close the file; it does not sync."""
+        """Close the file without a sync."""
         ...
 
 
 class Storage(Protocol):
-    """Keep files under one data folder; names are relative with ``/`` between parts.
+    """Files in one data folder; names are paths relative to it, separated by ``/``.
 
-    All calls block and raise ``OSError`` on failure; run them with ``run_blocking``
-    where the event loop must not wait.
+    All methods but ``run_blocking`` block and raise ``OSError`` on failure. Code that must
+    not block the event loop calls them through ``run_blocking``.
     """
 
     def names(self, folder: str) -> Sequence[str]:
-        """Return the sorted names in ``folder`` (files only); empty where there is none."""
+        """Return the sorted names of the files in ``folder``; empty if it does not exist."""
         ...
 
     def read(self, name: str) -> bytes | None:
-        """Return the file's bytes, or ``None`` where there is no such file."""
+        """Return the content of the file, or ``None`` if it does not exist."""
         ...
 
     def replace(self, name: str, data: bytes) -> None:
-        """Write beside, sync, rename over ``name`` and sync the folder: all or nothing."""
+        """Replace the content of the file atomically and durably.
+
+        Writes and syncs a temporary file, renames it to ``name`` and syncs the folder.
+        """
         ...
 
     def remove(self, name: str) -> None:
-        """Remove a file and sync the folder; a missing file is no error."""
+        """Remove the file and sync its folder; do nothing if the file does not exist."""
         ...
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to ``size`` bytes and sync it."""
+        """Truncate the file to ``size`` bytes and sync it."""
         ...
 
     def open_append(self, name: str) -> AppendFile:
-        """Open for appending; a new file's folder entry is synced before the return."""
+        """Open the file for appending and create it if it does not exist.
+
+        The folder entry of a new file is durable when the method returns.
+        """
         ...
 
     async def run_blocking(self, work: Callable[[], T]) -> T:
-        """Run ``work`` off the event loop, in the order of the calls."""
+        """Run ``work`` outside the event loop; calls run one at a time, in order."""
         ...
 
 
 class Random(Protocol):
-    """Draw random numbers; ``random.Random`` satisfies it."""
+    """Random number generator; ``random.Random`` implements it."""
 
     def random(self) -> float:
-        """Return a float in [0, 1)."""
+        """Return a random float in [0, 1)."""
         ...
 
     def uniform(self, a: float, b: float) -> float:
-        """Return a float between ``a`` and ``b``."""
+        """Return a random float between ``a`` and ``b``."""
         ...
 
     def getrandbits(self, k: int, /) -> int:
-        """Return an int of ``k`` random bits."""
+        """Return a random integer with ``k`` bits."""
         ...
 
     def randrange(self, start: int, stop: int) -> int:
-        """Return an int in [start, stop)."""
+        """Return a random integer in [start, stop)."""
         ...
 
 
 class Runtime(NamedTuple):
-    """Bundle what every program's factory takes.
+    """Clock, network, random numbers and storage that each program is created with.
 
     ``storage`` is ``None`` on a host without a disk.
     """
--- a/cranberrywall/runtime/_network.py
+++ b/cranberrywall/runtime/_network.py
@@ -1,4 +1,4 @@
-"""Dial and listen over TCP, with TLS where there are contexts for it."""
+"""TCP implementation of the network interface, with optional TLS."""
 
 import asyncio
 import socket
@@ -17,19 +17,19 @@
 _KEEPALIVE_IDLE_S = 30
 _KEEPALIVE_INTERVAL_S = 10
 _KEEPALIVE_PROBES = 3
-_FLUSH_ON_CLOSE_S = 1.0
-_TLS_HANDSHAKE_S = 3.0
+_CLOSE_FLUSH_TIMEOUT_S = 1.0
+_TLS_HANDSHAKE_TIMEOUT_S = 3.0
 
 _Accept = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 def make_network(contexts: StreamContexts | None = None) -> Network:
-    """Return the network of this machine; every connection is TLS where ``contexts`` are given."""
+    """Return a TCP network; all its connections use TLS if ``contexts`` is given."""
     return _TcpNetwork(contexts)
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of ``host:port``.
+    """Split ``host:port`` into host and port number.
 
     >>> split_address("127.0.0.1:80")
     ('127.0.0.1', 80)
@@ -57,8 +57,8 @@
             try:
                 await on_connect(reader, tcp_writer)
             except asyncio.CancelledError:
-                # The listener's owner ends its connections so; asyncio's own callback would
-                # report the cancelled task as a fault.
+                # The owner of the listener cancels these tasks to end its connections.
+                # Without this handler asyncio reports each cancelled task as an error.
                 pass
             finally:
                 tcp_writer.close()
@@ -68,14 +68,14 @@
     async def _start_server(self, accept: _Accept, host: str, port: int) -> asyncio.Server:
         if self._contexts is None:
             return await asyncio.start_server(accept, host, port)
-        # A stranger that never ends its part of the TLS handshake is let go as soon as one
-        # that never proves itself.
+        # An unauthenticated peer that does not complete the TLS handshake is disconnected
+        # after the same time as one that does not authenticate itself.
         return await asyncio.start_server(
             accept,
             host,
             port,
             ssl=self._contexts.server(),
-            ssl_handshake_timeout=_TLS_HANDSHAKE_S,
+            ssl_handshake_timeout=_TLS_HANDSHAKE_TIMEOUT_S,
         )
 
 
@@ -97,10 +97,10 @@
         if self._writer.is_closing():
             return
         self._writer.close()
-        # A close waits until the peer has taken what is queued, which a peer that
-        # stopped reading never does; the connection is then aborted.
+        # The transport closes only after the peer has received the queued bytes. A peer that
+        # has stopped reading never receives them, so the connection is aborted after a timeout.
         loop = asyncio.get_running_loop()
-        loop.call_later(_FLUSH_ON_CLOSE_S, self._writer.transport.abort)
+        loop.call_later(_CLOSE_FLUSH_TIMEOUT_S, self._writer.transport.abort)
 
 
 class _TcpListener:
@@ -119,10 +119,10 @@
 
 def _set_options(writer: asyncio.StreamWriter) -> None:
     connection = writer.get_extra_info("socket")
-    # Without TCP_NODELAY a small frame waits for the acknowledgement of the last one.
+    # Without TCP_NODELAY a small frame waits until the previous one is acknowledged.
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    # A peer that vanishes without a word would hold its connection here for ever;
-    # keepalive ends it within about a minute.
+    # If a peer disappears without closing its connection, the connection would stay open
+    # forever on this host. Keepalive closes it within about a minute.
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
--- a/cranberrywall/runtime/_runtime.py
+++ b/cranberrywall/runtime/_runtime.py
@@ -1,4 +1,4 @@
-"""Assemble the real runtime."""
+"""Factories of the runtime that uses the system's clock, network and files."""
 
 import random
 
@@ -9,16 +9,17 @@
 
 
 def make_random(seed: int | None = None) -> Random:
-    """Return random numbers; the same ``seed`` gives the same ones."""
+    """Return a random number generator; equal seeds produce equal sequences."""
     return random.Random(seed)
 
 
 def make_runtime(
     data: str | None, seed: int | None = None, contexts: StreamContexts | None = None
 ) -> Runtime:
-    """Return this machine's clock, network, files under ``data`` and random numbers.
+    """Return the runtime of this machine, with its files in the folder ``data``.
 
-    ``data`` is ``None`` on a host without a disk, ``contexts`` on streams without TLS.
+    ``data`` is ``None`` on a host without a disk. ``contexts`` is ``None`` if connections do
+    not use TLS. Raises ``OSError`` if the folder does not exist.
     """
     storage = None if data is None else make_storage(data)
     return Runtime(make_clock(), make_network(contexts), make_random(seed), storage)
--- a/cranberrywall/runtime/_storage.py
+++ b/cranberrywall/runtime/_storage.py
@@ -1,4 +1,4 @@
-"""Keep files under one data folder."""
+"""File system implementation of the storage interface."""
 
 import asyncio
 import os
@@ -11,32 +11,33 @@
 
 T = TypeVar("T")
 
-_BESIDE_SUFFIX = ".beside"
+_TEMPORARY_SUFFIX = ".beside"
+"""Suffix of the temporary file that ``replace`` writes; a crash may leave such a file."""
 
 _FILE_MODE = 0o640
-"""Files hold password hashes and ledgers: other users of the machine may not read them."""
+"""Files contain password hashes and ledgers, so other users of the machine must not read them."""
 
 
 def make_storage(folder: str) -> Storage:
-    """Return the files under ``folder``, which must exist; raise ``OSError`` if not."""
+    """Return the storage of the files in ``folder``; raise ``OSError`` if it does not exist."""
     root = Path(folder)
     if not root.is_dir():
-        raise NotADirectoryError(f"{folder} is not a folder")
+        raise NotADirectoryError(f"data folder {folder} does not exist or is not a folder")
     return _FileStorage(root)
 
 
 class _FileStorage:
     def __init__(self, root: Path) -> None:
         self._root = root
-        # One thread keeps the order of the calls.
-        self._thread = ThreadPoolExecutor(max_workers=1, thread_name_prefix="storage")
+        # A single thread runs the calls in their order.
+        self._executor = ThreadPoolExecutor(max_workers=1, thread_name_prefix="storage")
 
     def names(self, folder: str) -> Sequence[str]:
         path = self._path(folder)
         if not path.is_dir():
             return []
         files = (entry for entry in path.iterdir() if entry.is_file())
-        return sorted(file.name for file in files if not file.name.endswith(_BESIDE_SUFFIX))
+        return sorted(file.name for file in files if not file.name.endswith(_TEMPORARY_SUFFIX))
 
     def read(self, name: str) -> bytes | None:
         try:
@@ -47,12 +48,12 @@
     def replace(self, name: str, data: bytes) -> None:
         path = self._path(name)
         self._make_folders(path.parent)
-        beside = path.with_name(path.name + _BESIDE_SUFFIX)
-        with open(beside, "wb", opener=_open_for_us) as file:
+        temporary_path = path.with_name(path.name + _TEMPORARY_SUFFIX)
+        with open(temporary_path, "wb", opener=_open_with_file_mode) as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, path)
+        os.replace(temporary_path, path)
         _sync_folder(path.parent)
 
     def remove(self, name: str) -> None:
@@ -75,15 +76,15 @@
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, _FILE_MODE)
         if is_new:
             _sync_folder(path.parent)
-        return _File(descriptor)
+        return _FileAppender(descriptor)
 
     async def run_blocking(self, work: Callable[[], T]) -> T:
-        return await asyncio.get_running_loop().run_in_executor(self._thread, work)
+        return await asyncio.get_running_loop().run_in_executor(self._executor, work)
 
     def _path(self, name: str) -> Path:
         path = self._root / name
         if ".." in path.parts or not path.is_relative_to(self._root):
-            raise ValueError(f"{name} is outside the data folder")
+            raise ValueError(f"file name {name} is outside the data folder")
         return path
 
     def _make_folders(self, folder: Path) -> None:
@@ -94,14 +95,14 @@
         _sync_folder(folder.parent)
 
 
-class _File:
+class _FileAppender:
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
 
     def append(self, data: bytes) -> None:
-        rest = memoryview(data)
-        while rest:
-            rest = rest[os.write(self._descriptor, rest) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(self._descriptor, remaining) :]
 
     def sync(self) -> None:
         os.fdatasync(self._descriptor)
@@ -118,5 +119,5 @@
         os.close(descriptor)
 
 
-def _open_for_us(path: str, flags: int) -> int:
+def _open_with_file_mode(path: str, flags: int) -> int:
     return os.open(path, flags, _FILE_MODE)
--- a/cranberrywall/runtime/_timers.py
+++ b/cranberrywall/runtime/_timers.py
@@ -1,7 +1,7 @@
-"""Wait with a limit, by the runtime's clock.
+"""Timers and timeouts on the clock of the runtime.
 
-``asyncio.timeout`` goes by the event loop's own clock, which a test or a bench that
-replaces ``Clock`` does not move.
+``asyncio.timeout`` uses the clock of the event loop. Tests and benches that replace ``Clock``
+do not control that clock.
 """
 
 import asyncio
@@ -12,11 +12,12 @@
 
 from cranberrywall.runtime._interfaces import Clock
 
-_COMPACT_ABOVE = 256
+_COMPACTION_THRESHOLD = 256
+"""The heap is compacted only if it has more cancelled timers than this number."""
 
 
 class Timer:
-    """Hold one callback until its time; ``cancel`` drops it."""
+    """Scheduled call of one callback; ``cancel`` prevents it."""
 
     __slots__ = ("_owner", "callback")
 
@@ -25,45 +26,45 @@
         self.callback: Callable[[], object] | None = callback
 
     def cancel(self) -> None:
-        """Drop the callback; a second call and one after it ran do nothing."""
+        """Cancel the callback; do nothing if it has run or is cancelled already."""
         if self.callback is not None:
             self.callback = None
             self._owner.note_cancelled()
 
 
 class Timers:
-    """Call many callbacks at their times from one task, which runs only while some wait."""
+    """Scheduler that runs callbacks from one task, which exists only while timers are pending."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._heap: list[tuple[float, int, Timer]] = []
-        self._numbers = itertools.count()
+        self._sequence_numbers = itertools.count()
         self._cancelled = 0
         self._task: asyncio.Task[None] | None = None
         self._sleeping_until = 0.0
 
     def call_at(self, when: float, callback: Callable[[], object]) -> Timer:
-        """Call ``callback`` once the clock shows ``when``, in monotonic seconds."""
+        """Schedule ``callback`` for the time ``when``, in monotonic seconds."""
         timer = Timer(self, callback)
-        heapq.heappush(self._heap, (when, next(self._numbers), timer))
+        heapq.heappush(self._heap, (when, next(self._sequence_numbers), timer))
         if self._task is None or when < self._sleeping_until:
             self._restart()
         return timer
 
     def limit(self, seconds: float) -> AbstractAsyncContextManager[None]:
-        """Raise ``TimeoutError`` in an ``async with`` block that lasts over ``seconds``."""
-        return _Limit(self, self._clock.now() + seconds)
+        """Return an ``async with`` block that raises ``TimeoutError`` after ``seconds``."""
+        return _TimeLimit(self, self._clock.now() + seconds)
 
     def note_cancelled(self) -> None:
-        """Count a cancelled timer, and forget such timers once they are most of all."""
+        """Count a cancelled timer; remove all cancelled timers if most timers are cancelled."""
         self._cancelled += 1
-        if self._cancelled > _COMPACT_ABOVE and self._cancelled * 2 > len(self._heap):
+        if self._cancelled > _COMPACTION_THRESHOLD and self._cancelled * 2 > len(self._heap):
             self._heap = [entry for entry in self._heap if entry[2].callback is not None]
             heapq.heapify(self._heap)
             self._cancelled = 0
 
     def close(self) -> None:
-        """Drop all timers."""
+        """Discard all timers."""
         self._heap.clear()
         if self._task is not None:
             self._task.cancel()
@@ -85,7 +86,8 @@
         self._task = None
 
     def _run_due(self, now: float) -> None:
-        # A callback may add a timer; the sleep ahead is chosen after all have run.
+        # Callbacks may add timers. With -inf here they do not restart the task: it computes its
+        # next sleep after all due callbacks have run.
         self._sleeping_until = float("-inf")
         while self._heap and self._heap[0][0] <= now:
             timer = heapq.heappop(self._heap)[2]
@@ -96,8 +98,8 @@
             callback()
 
 
-class _Limit:
-    """Cancel the block after a time, and turn that cancellation into ``TimeoutError``."""
+class _TimeLimit:
+    """Cancel the block at a given time and convert that cancellation to ``TimeoutError``."""
 
     def __init__(self, timers: Timers, when: float) -> None:
         self._timers = timers
@@ -117,8 +119,8 @@
         self._timer.cancel()
         if not self._expired:
             return
-        # A cancellation from elsewhere at the same moment must not be swallowed: then
-        # more cancellations are counted than at the start of the block.
+        # If another caller cancels the task at the same time, that cancellation must not be
+        # lost. In this case the task counts more cancellations than at the start of the block.
         if self._task.uncancel() <= self._cancelling and kind is asyncio.CancelledError:
             raise TimeoutError from error
 
--- a/tests/runtime/test_real.py
+++ b/tests/runtime/test_real.py
@@ -1,4 +1,4 @@
-"""Check the real clock, network and files, on the event loop that the programs use."""
+"""Tests of the system's network, files and random numbers; network tests run on uvloop."""
 
 import asyncio
 import os
@@ -12,7 +12,7 @@
 from cranberrywall.runtime import Network, Reader, Writer, make_network, make_random, make_runtime
 
 
-def on_uvloop(test: Callable[[Network], Awaitable[None]]) -> None:
+def run_on_uvloop(test: Callable[[Network], Awaitable[None]]) -> None:
     async def main() -> None:
         await test(make_network())
 
@@ -38,13 +38,13 @@
         with pytest.raises(OSError):
             await network.dial(listener.address, 1.0)
 
-    on_uvloop(test)
+    run_on_uvloop(test)
 
 
 def test_a_closed_connection_ends_though_its_peer_does_not_read():
-    """A peer stops reading with megabytes on the way, and the connection is closed here.
+    """A connection is closed while megabytes are queued for a peer that has stopped reading.
 
-    A close that waits for the peer to take them would keep the connection for ever.
+    If the close waited until the peer received them, the connection would stay open forever.
     """
 
     async def test(network: Network):
@@ -63,10 +63,10 @@
         writer.close()
         await listener.close()
 
-    on_uvloop(test)
+    run_on_uvloop(test)
 
 
-def test_files_are_kept_listed_cut_and_removed(tmp_path: Path):
+def test_files_are_stored_listed_truncated_and_removed(tmp_path: Path):
     storage = make_runtime(str(tmp_path)).storage
     assert storage is not None
     assert storage.read("a/vote") is None
@@ -77,12 +77,12 @@
     file.append(b"12345")
     file.sync()
     file.close()
-    again = storage.open_append("a/log")
-    again.append(b"6")
+    reopened = storage.open_append("a/log")
+    reopened.append(b"6")
     assert storage.read("a/log") == b"123456"
     storage.truncate("a/log", 3)
-    again.append(b"7")
-    again.close()
+    reopened.append(b"7")
+    reopened.close()
     assert storage.read("a/log") == b"1237"
     (tmp_path / "a" / "vote.beside").write_bytes(b"left over from a crash")
     assert list(storage.names("a")) == ["log", "vote"]
@@ -97,7 +97,7 @@
     storage.replace("vote", b"old")
 
     def fail(descriptor: int) -> None:
-        raise OSError("the disk is gone")
+        raise OSError("the disk was removed")
 
     monkeypatch.setattr(os, "fsync", fail)
     with pytest.raises(OSError):
@@ -106,9 +106,10 @@
 
 
 def test_files_are_not_for_other_users(tmp_path: Path):
-    """Any user of the machine could read the console's password hashes, or the ledgers.
+    """Other users of the machine must not read the console's password hashes or the ledgers.
 
-    Files that were written whole, such as the console's accounts, had mode 0644; logs had 0640.
+    Files written by ``replace``, such as the console's accounts, once had mode 0644; logs
+    had mode 0640.
     """
     storage = make_runtime(str(tmp_path)).storage
     assert storage is not None
@@ -125,21 +126,21 @@
 def test_replace_syncs_the_file_before_the_rename_and_the_folder_after(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ):
-    """A crash right after a rename shows an empty file where the content was not synced."""
+    """If the content is not synced before the rename, a crash may leave an empty file."""
     steps: list[str] = []
     fsync, replace = os.fsync, os.replace
 
-    def note_sync(descriptor: int) -> None:
+    def record_sync(descriptor: int) -> None:
         kind = "folder" if os.path.isdir(f"/proc/self/fd/{descriptor}") else "file"
         steps.append(f"sync {kind}")
         fsync(descriptor)
 
-    def note_rename(source: Path, target: Path) -> None:
+    def record_rename(source: Path, target: Path) -> None:
         steps.append("rename")
         replace(source, target)
 
-    monkeypatch.setattr(os, "fsync", note_sync)
-    monkeypatch.setattr(os, "replace", note_rename)
+    monkeypatch.setattr(os, "fsync", record_sync)
+    monkeypatch.setattr(os, "replace", record_rename)
     storage = make_runtime(str(tmp_path)).storage
     assert storage is not None
     storage.replace("vote", b"x")
@@ -163,8 +164,8 @@
     storage = make_runtime(str(tmp_path)).storage
     assert storage is not None
     done: list[int] = []
-    works = [storage.run_blocking(lambda n=n: done.append(n)) for n in range(50)]  # type: ignore[misc]  # mypy cannot infer a lambda with a default
-    await asyncio.gather(*works)
+    calls = [storage.run_blocking(lambda n=n: done.append(n)) for n in range(50)]  # type: ignore[misc]  # mypy cannot infer a lambda with a default
+    await asyncio.gather(*calls)
     assert done == list(range(50))
 
 
--- a/tests/runtime/test_timers.py
+++ b/tests/runtime/test_timers.py
@@ -1,4 +1,4 @@
-"""Check waiting with a limit by the runtime's clock."""
+"""Tests of timers and timeouts on the clock of the runtime."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
     assert ran == [1.0, 2.0, 2.5, 3.0]
 
 
-async def test_a_callback_may_add_a_timer_that_is_due_at_once():
+async def test_a_callback_may_add_a_timer_that_is_due_immediately():
     clock = ManualClock()
     timers = Timers(clock)
     ran: list[str] = []
@@ -40,7 +40,7 @@
     assert ran == ["first", "second"]
 
 
-async def test_cancelled_timers_are_forgotten():
+async def test_cancelled_timers_are_removed():
     timers = Timers(ManualClock())
     kept = timers.call_at(1e9, lambda: None)
     for number in range(10_000):
@@ -74,8 +74,8 @@
                 await clock.sleep(5.0)
 
         task = asyncio.ensure_future(work())
-        # Both come at the same moment: the task must end as cancelled, or its owner,
-        # who waits for that, would see it go on.
+        # The timeout and the cancellation occur at the same time. The task must end as
+        # cancelled, because the caller that cancelled it waits for that.
         timers.call_at(clock.now() + 1.0, task.cancel)
         with pytest.raises(asyncio.CancelledError):
             await task
