--- a/tests/budgets/test_allotments_differ.py
+++ b/tests/budgets/test_allotments_differ.py
@@ -131,3 +131,35 @@
         await pair.finish()
 
     on_fleet(scenario, disks=("a1", "a2", "b1"))
+
+
+RESTARTS_AND_PARTITION: list[tuple[Any, ...]] = [
+    ("request", "b2", 186, 9),
+    ("request", "a1", 2, 81),
+    ("hold", "b3", 240),
+    ("hold", "b3", 37),
+    ("restart", "b2"),
+    ("request", "b3", 12, 53),
+    ("request", "b2", 47, 21),
+    ("restart", "b3"),
+    ("end", False),
+    ("request", "a2", 362, 94),
+    ("cut", True),
+    ("request", "b2", 333, 55),
+    ("credit", 19),
+    ("credit", 377),
+    ("end", False),
+]
+
+
+def test_money_of_restarted_hosts_is_available_soon_after_a_partition() -> None:
+    """Hosts restart just before a partition, and their budget is refused 180 s after its end."""
+
+    async def scenario(fleet: MoneyFleet) -> None:
+        pair = _FleetAndOracle(fleet)
+        await pair.credit(3000)
+        for step in RESTARTS_AND_PARTITION:
+            await pair.step(*step)
+        await pair.finish()
+
+    on_fleet(scenario, disks=("a1", "a2", "b1"))
