--- a/cranberrywall/budgets/_closing_records.py
+++ b/cranberrywall/budgets/_closing_records.py
@@ -21,6 +21,7 @@
 """Number of closed periods that are stored with their rows: 12 months and one more."""
 
 _ROWS_IN_CHUNK = 1_000
+"""Maximum number of report rows that are encoded together as one chunk."""
 
 _ENCODER = msgspec.msgpack.Encoder()
 _ROWS_DECODER = msgspec.msgpack.Decoder(list[ReportRow])
--- a/cranberrywall/budgets/_ledger_intents.py
+++ b/cranberrywall/budgets/_ledger_intents.py
@@ -2,8 +2,8 @@
 
 An intent is removed when a period closes that ends more than ``RETENTION_S`` after the intent's
 last change. The period's end decides, not a clock, so a clock that jumps cannot remove an intent
-too early. While ``MAX_INTENTS`` are stored, new ones are rejected, and the caller is correctly told
-that its request was not run.
+too early. While ``MAX_INTENTS`` are stored, new ones are rejected, and the caller is correctly
+notified that its request was not run.
 """
 
 from collections.abc import Callable
@@ -79,7 +79,7 @@
         if existing.attempt_id == command.attempt_id:
             return existing.state is IntentState.RUNNING
         # A delayed copy of an attempt that ended as not run must not start again, because its host
-        # has already told the caller that nothing ran.
+        # has already notified the caller that nothing ran.
         is_late = command.attempt_id in existing.former_attempts
         return existing.state is IntentState.NOT_RUN and not is_late
 
--- a/cranberrywall/budgets/_ledger_movements.py
+++ b/cranberrywall/budgets/_ledger_movements.py
@@ -194,7 +194,7 @@
 
         Hosts on the far side of a network partition pass money on, and report the transfers in any
         order once the partition ends. If the later transfer were applied first, the recipient would
-        be told to drop money that exists, and its charges would be withheld as unfunded.
+        be instructed to drop money that exists, and its charges would be withheld as unfunded.
         """
         if self._donor is None:
             return self._state.holders.is_current(self._command.giver)
--- a/cranberrywall/budgets/_ledger_state.py
+++ b/cranberrywall/budgets/_ledger_state.py
@@ -20,7 +20,10 @@
 from cranberrywall.budgets.messages import Holder
 
 _VERSION = 3
+"""Version number of the format of ledger snapshots."""
+
 _VERSIONS_WITHOUT_CLOCKS = (1, 2)
+"""Versions of the format in which contacts lack clocks; they can still be loaded."""
 
 
 class LedgerState:
--- a/cranberrywall/budgets/_review.py
+++ b/cranberrywall/budgets/_review.py
@@ -197,7 +197,7 @@
             return
         answer = await self._steps.draw(allotment, self.missing_amount(allotment), 1)
         if isinstance(answer, Ok) and answer.ok_value.free and self._is_low(allotment):
-            # Only the answer tells the current total of which this host should hold a share.
+            # Only the answer has the current total. This host should hold a share of it.
             answer = await self._steps.draw(allotment, self.missing_amount(allotment), 1)
         if isinstance(answer, Err):
             if out_of_reach(answer.err_value):
--- a/cranberrywall/budgets/_shortfalls.py
+++ b/cranberrywall/budgets/_shortfalls.py
@@ -197,7 +197,7 @@
         free = await self._draw()
         self.serve()
         if is_first and free:
-            # Only the first answer tells the total of which this host should hold a share.
+            # Only the first answer has the total. This host should hold a share of it.
             await self._draw_share()
         if not self._waiters:
             return _SearchResult(free, 0)
--- a/cranberrywall/budgets/_sizing.py
+++ b/cranberrywall/budgets/_sizing.py
@@ -21,8 +21,10 @@
 DISK_WEIGHT = 8.0
 # A part smaller than this many bounds of typical requests is too small to be worth holding.
 MIN_REQUESTS_PER_PART = 2.0
+# Number of parts that a budget can be split into if no request was seen yet.
 UNLIMITED_PARTS = 1_000_000
 # A host draws or returns money if its holding is outside this band around its target amount.
+# Both limits are ratios of the holding to the target amount.
 LOW_BAND = 0.75
 HIGH_BAND = 1.5
 
--- a/cranberrywall/callers/_addresses.py
+++ b/cranberrywall/callers/_addresses.py
@@ -20,6 +20,7 @@
 _OWN_PLACE_FACTOR = 4.0
 _MIN_WEIGHT = 0.05
 _HASH_RANGE = 2.0**64
+"""Number of values of a 64-bit hash."""
 
 
 class CallerAddress(NamedTuple):
--- a/cranberrywall/forwarding/_routes.py
+++ b/cranberrywall/forwarding/_routes.py
@@ -67,7 +67,7 @@
 
 
 def repeat_rules_of(route: Route) -> RepeatRules:
-    """Return the rules of a route; a stream may at most be resumed where it broke off."""
+    """Return the rules of a route; an interrupted stream may at most be resumed."""
     is_stream = route["kind"] == "stream"
     may_run_again = route["is_resumable"] if is_stream else route["kind"] == "idempotent"
     return RepeatRules(may_run_again, is_stream)
--- a/cranberrywall/hosts/_entries.py
+++ b/cranberrywall/hosts/_entries.py
@@ -12,6 +12,7 @@
 PLACE_LOAD_TOPIC = "place-load"
 
 _LOAD_SCALE = 255
+"""Value of the payload byte that stands for a load of 1."""
 
 
 class HostRecord(NamedTuple):
--- a/cranberrywall/hosts/_membership.py
+++ b/cranberrywall/hosts/_membership.py
@@ -44,7 +44,9 @@
 
 _VIEWS_TTL_S = 0.2
 _MAX_INDIRECT_PROBE_TIMEOUT_S = 5.0
+# Maximum random change of an interval, as a fraction of it, up or down.
 _JITTER_FRACTION = 0.1
+# Number of seeds that are tried at the same time while the host joins.
 _SEEDS_PER_JOIN_ROUND = 3
 _MAX_CONTACTED_HOSTS = 2
 _NEXT_CONTACT_DELAY_S = 0.4
--- a/cranberrywall/hosts/_ring.py
+++ b/cranberrywall/hosts/_ring.py
@@ -14,8 +14,13 @@
 import xxhash
 
 FULL_MESH_SIZE = 12
+"""Maximum number of hosts of a group in which each host communicates with all others."""
+
 DELEGATES = 3
+"""Number of hosts that communicate with other groups on behalf of their group."""
+
 RINGS = 4
+"""Number of rings of a group; a host communicates with its two neighbours on each of them."""
 
 _Position = tuple[int, str]
 
--- a/cranberrywall/hosts/_spread.py
+++ b/cranberrywall/hosts/_spread.py
@@ -15,6 +15,7 @@
 misses about one host in fifty, with three about one in twenty; the digests find the hosts that
 miss non-volatile items. Urgent items are also pushed."""
 _DEFERRED_SENDS = 4
+"""Number of probes with which an urgent item is sent if the push limit delayed its push."""
 _ITEM_OVERHEAD_BYTES = 24
 _PUSH_TIMEOUT_S = 2.0
 _MAX_PUSH_ITEMS = 500
--- a/cranberrywall/hosts/_table.py
+++ b/cranberrywall/hosts/_table.py
@@ -7,6 +7,8 @@
 from cranberrywall.hosts.messages import Item, Urgency
 
 BUCKETS = 256
+"""Number of buckets into which items are hashed; each bucket has its own digests."""
+
 MAX_ITEMS = 100_000
 
 Key = tuple[str, str]
--- a/cranberrywall/links/_frames.py
+++ b/cranberrywall/links/_frames.py
@@ -15,6 +15,7 @@
 from cranberrywall.runtime import Reader
 
 VERSION = 1
+"""Version number of the link protocol, in each frame and in the handshake."""
 
 _HEADER = struct.Struct(">IBB")
 _LENGTH = struct.Struct(">I")
--- a/cranberrywall/quarantine/_inference.py
+++ b/cranberrywall/quarantine/_inference.py
@@ -44,6 +44,7 @@
 _MAX_LOG_ODDS = 20.0
 _MAX_ROUNDS = 60
 _CONVERGED_STEP = 1e-3
+"""The iteration ends if no log odds change by this much or more in a round."""
 _MAX_PROBABILITY = 1.0 - 1e-9
 
 Weights = Mapping[Fingerprint, float]
--- a/cranberrywall/rates/_coordinator.py
+++ b/cranberrywall/rates/_coordinator.py
@@ -80,8 +80,8 @@
         self._requested_at_by_incarnation: dict[TargetIncarnation, float] = {}
         self._requested_at_by_host: dict[str, float] = {}
         self._waiting: list[_PendingRequest] = []
-        # Demands that were told to wait since their host last reported its waiting requests. If
-        # they did not count, all requests within a quarter of a second would be told the same short
+        # Demands that were deferred since their host last reported its waiting requests. If they
+        # did not count, all requests within a quarter of a second would be given the same short
         # wait.
         self._deferred_by_host: dict[str, list[PermitDemand]] = {}
         self._fairness = Fairness(clock.now())
--- a/cranberrywall/rates/_rate_table.py
+++ b/cranberrywall/rates/_rate_table.py
@@ -121,7 +121,7 @@
             self._publish(incarnation, record, notice.per_s, request_id)
 
     def expire(self, now: float) -> None:
-        """Remove the rates of targets that restarted or are gone; call it once a second."""
+        """Remove the rates of targets that restarted or were removed; call it once a second."""
         for incarnation in list(self._record_by_incarnation):
             target = self._targets.by_id.get(incarnation.target)
             if target is not None and target.announcement.incarnation == incarnation.incarnation:
--- a/cranberrywall/requests/_chat.py
+++ b/cranberrywall/requests/_chat.py
@@ -18,6 +18,8 @@
 """
 
 _DEFAULT_MARGIN = 1.0
+"""Factor by which the estimate of input tokens is multiplied if there is no policy."""
+
 _PROMPT_FIELDS = frozenset({"functions", "response_format", "tools"})
 _PLAIN_FIELDS = frozenset({"role", "content"})
 _ROUTER_FIELDS = ("stream", "stream_options", "max_completion_tokens", "max_tokens", "adapter")
--- a/cranberrywall/requests/_engine.py
+++ b/cranberrywall/requests/_engine.py
@@ -48,6 +48,7 @@
 
 # 404 means that the model or the version was unloaded after the target was chosen.
 _BUSY_STATUSES = frozenset({404, 408, 409, 425, 429, 500, 502, 503, 504})
+# HTTP status of an answer that requests a backoff.
 _UNAVAILABLE = 503
 _CANCEL_TIMEOUT_S = 2.0
 _END_OF_BODY_TIMEOUT_S = 0.5
--- a/cranberrywall/routing/_candidates.py
+++ b/cranberrywall/routing/_candidates.py
@@ -24,6 +24,7 @@
 """Weight of one observation in a target's slowness, 0 to 1."""
 
 SLOWNESS_BOUNDS = (0.25, 20.0)
+"""Lowest and highest ratio of observed to predicted time that one observation counts as."""
 
 SLOWNESS_DECAY_S = 60.0
 """Time constant with which slowness decays to 1 without new observations, in seconds."""
--- a/cranberrywall/routing/_choice.py
+++ b/cranberrywall/routing/_choice.py
@@ -209,4 +209,7 @@
 
 
 _GOLDEN = 0x9E3779B97F4A7C15
+"""Multiplier of the hash: 2**64 divided by the golden ratio."""
+
 _MASK = 2**64 - 1
+"""Bit mask that keeps the lowest 64 bits."""
--- a/cranberrywall/runtime/_network.py
+++ b/cranberrywall/runtime/_network.py
@@ -16,6 +16,7 @@
 
 _KEEPALIVE_IDLE_S = 30
 _KEEPALIVE_INTERVAL_S = 10
+# Number of unanswered keepalive probes after which TCP closes the connection.
 _KEEPALIVE_PROBES = 3
 _CLOSE_FLUSH_TIMEOUT_S = 1.0
 _TLS_HANDSHAKE_TIMEOUT_S = 3.0
--- a/cranberrywall/targets/_probes.py
+++ b/cranberrywall/targets/_probes.py
@@ -22,6 +22,7 @@
 """Request id that logs show if the answer to a probe requested a backoff."""
 
 _UNAVAILABLE = 503
+"""HTTP status of an answer that requests a backoff."""
 
 
 class Probe(Protocol):
--- a/measurements/_budget_runs.py
+++ b/measurements/_budget_runs.py
@@ -274,7 +274,7 @@
 
     def _mend(self) -> None:
         self._now_cut = None
-        self._fleet.net.mend()
+        self._fleet.net.heal()
 
     def _cut(self, cut: Cut) -> None:
         self._now_cut = cut
--- a/measurements/config_spread.py
+++ b/measurements/config_spread.py
@@ -176,7 +176,7 @@
         await fleet.clock.sleep(fleet.random.uniform(0.0, 10.0))
         await victim.stop()
         _cut_all_but(fleet, victim, {stale.me.host})
-        fleet.fabric.mend(_ip(stale.me), _ip(victim.me))
+        fleet.fabric.heal(_ip(stale.me), _ip(victim.me))
         await victim.start([stale.me, *fleet.random.sample(known, 5)])
         await fleet.clock.sleep(fleet.random.uniform(0.0, 5.0))
         for host in (stale, victim):
@@ -193,7 +193,7 @@
 def _mend_all(fleet: Fleet, entry: EntryHost) -> None:
     for other in _hosts(fleet):
         if other.host != entry.me.host:
-            fleet.fabric.mend(_ip(entry.me), _ip(other))
+            fleet.fabric.heal(_ip(entry.me), _ip(other))
 
 
 def _hosts(fleet: Fleet) -> list[SpreadHost]:
--- a/measurements/recovery.py
+++ b/measurements/recovery.py
@@ -248,7 +248,7 @@
     def _mend(self, host: FleetHost) -> None:
         for other in self._fleet.by_name.values():
             if other is not host:
-                self._fleet.fabric.mend(host.ip, other.ip)
+                self._fleet.fabric.heal(host.ip, other.ip)
 
 
 async def _start(host: FleetHost) -> None:
@@ -284,7 +284,7 @@
     clients = Clients(fleet, changes)
     faults = Faults(fleet)
     await asyncio.gather(clients.run(), faults.run(lambda: clients.are_done))
-    fleet.mend()
+    fleet.heal()
     await fleet.leader()
     longest = max(len(host.machine.commands) for host in fleet.up)
     await fleet.until(
--- a/tests/budgets/first_schedules.py
+++ b/tests/budgets/first_schedules.py
@@ -69,7 +69,7 @@
         self._credit(FIRST_CREDIT)
         callers = [asyncio.create_task(self._call(host)) for host in fleet.host_by_name]
         await self._cause_failures()
-        fleet.net.mend()
+        fleet.net.heal()
         await fleet.clock.sleep(10.0)
         self._is_over = True
         await asyncio.gather(*callers)
@@ -151,21 +151,21 @@
     async def _partition_all(self) -> None:
         self._fleet.net.cut(dict.fromkeys(self._fleet.host_by_name, 1))
         await self._fleet.clock.sleep(self._random.uniform(0.2, 9.0))
-        self._fleet.net.mend()
+        self._fleet.net.heal()
 
     async def _partition_some(self) -> None:
         self._fleet.net.cut(dict.fromkeys(self._some(), 1))
         await self._fleet.clock.sleep(self._random.uniform(0.2, 9.0))
-        self._fleet.net.mend()
+        self._fleet.net.heal()
 
     async def _partition_all_and_kill_all(self) -> None:
         self._fleet.net.cut(dict.fromkeys(self._fleet.host_by_name, 1))
         await self._fleet.clock.sleep(self._random.uniform(0.2, 9.0))
         if self._random.random() < 0.5:
-            self._fleet.net.mend()
+            self._fleet.net.heal()
             await self._fleet.clock.sleep(self._random.uniform(0.0, 1.5))
         await self._kill(list(self._fleet.host_by_name))
-        self._fleet.net.mend()
+        self._fleet.net.heal()
 
     async def _kill_some(self) -> None:
         await self._kill(self._some())
--- a/tests/budgets/schedules.py
+++ b/tests/budgets/schedules.py
@@ -73,7 +73,7 @@
         self._credit(self.first_credit)
         callers = [asyncio.create_task(self._call(host)) for host in fleet.host_by_name]
         await self._cause_failures()
-        fleet.net.mend()
+        fleet.net.heal()
         await fleet.clock.sleep(10.0)
         self._is_over = True
         await asyncio.gather(*callers)
@@ -166,7 +166,7 @@
         self._is_under_pressure = self._random.random() < 0.5
 
     def _reconnect(self) -> None:
-        self._fleet.net.mend()
+        self._fleet.net.heal()
         self._is_under_pressure = False
 
     async def _partition_all(self) -> None:
@@ -177,7 +177,7 @@
     async def _partition_some(self) -> None:
         self._fleet.net.cut(dict.fromkeys(self._some(), 1))
         await self._fleet.clock.sleep(self._random.uniform(0.2, 9.0))
-        self._fleet.net.mend()
+        self._fleet.net.heal()
 
     async def _partition_all_and_kill_all(self) -> None:
         self._isolate_all()
@@ -288,7 +288,7 @@
         if self._random.random() < 0.5:
             await self._step_clocks()
         await self._kill(hosts if self._random.random() < 0.7 else self._some())
-        fleet.net.mend()
+        fleet.net.heal()
         await fleet.clock.sleep(15.0)
 
     def _draw_bound(self) -> int:
--- a/tests/budgets/test_allotments_differ.py
+++ b/tests/budgets/test_allotments_differ.py
@@ -24,7 +24,7 @@
     st.tuples(st.just("end"), st.booleans()),
     st.tuples(st.just("credit"), st.integers(1, 2000)),
     st.tuples(st.just("cut"), st.booleans()),
-    st.tuples(st.just("mend")),
+    st.tuples(st.just("heal")),
     st.tuples(st.just("restart"), HOSTS),
     st.tuples(st.just("wait"), st.sampled_from([1.0, 20.0, 120.0])),
 )
@@ -91,8 +91,8 @@
         self.fleet.net.cut(SOUTH_PARTITIONED if is_south else {"a1": 1, "a2": 1})
         self.is_connected = False
 
-    async def mend(self) -> None:
-        self.fleet.net.mend()
+    async def heal(self) -> None:
+        self.fleet.net.heal()
 
     async def restart(self, host: str) -> None:
         self.is_connected = False
@@ -107,7 +107,7 @@
 
     async def finish(self) -> None:
         """Restore all connections: the ledger has billed all that was settled, and no more."""
-        self.fleet.net.mend()
+        self.fleet.net.heal()
         while self.open:
             await self.end(False)
         await self.fleet.clock.sleep(180.0)
--- a/tests/budgets/test_intents.py
+++ b/tests/budgets/test_intents.py
@@ -34,8 +34,8 @@
 def test_the_first_attempt_wins_and_the_second_gets_its_state():
     """The same request arrives at two hosts at the same time.
 
-    Only one may send it to the service. The other is told that it is running, and later gets the
-    stored answer. If both sent it, the operation would run twice and need a manual reversal.
+    Only one may send it to the service. The other is notified that it is running, and later gets
+    the stored answer. If both sent it, the operation would run twice and need a manual reversal.
     """
     ledger = Ledger()
     assert recorded_state(ledger).state is IntentState.NONE
@@ -64,7 +64,7 @@
     """The first attempt never reached the service, and its host reported that.
 
     A second attempt may run. A delayed copy of the first attempt's message must not start it again,
-    because its host has told the caller that nothing ran.
+    because its host has notified the caller that nothing ran.
     """
     ledger = Ledger()
     start(ledger, A1, "a")
--- a/tests/budgets/test_ledger_failures.py
+++ b/tests/budgets/test_ledger_failures.py
@@ -168,8 +168,8 @@
 def test_a_budget_of_exactly_one_request_is_spent_by_one_holder():
     """Two hosts draw the last 7 tokens at the same time, each for one request of 7.
 
-    One gets all of them, and the other is told that nothing is free. A part of the 7 for each of
-    them would be of no use to either.
+    One gets all of them, and the other gets the answer that nothing is free. A part of the 7 for
+    each of them would be of no use to either.
     """
     ledger = make_funded_ledger(7)
     assert ledger.draw(A1, 1, 7, minimum=7).granted == 7
@@ -216,7 +216,7 @@
     """During a partition, C gives 20 to B and B passes 25 on to A; A is the first to report.
 
     At the ledger, B has 10 until C's transfer is reported. If the ledger moved only what B has and
-    told A to drop the rest, A would lose money that exists.
+    instructed A to drop the rest, A would lose money that exists.
     """
     ledger = make_funded_ledger(50)
     ledger.draw(B1, 1, 10)
--- a/tests/budgets/test_lost_steps.py
+++ b/tests/budgets/test_lost_steps.py
@@ -155,7 +155,7 @@
             spent += await spend_all(fleet, host, f"{host}-{spent}", 10)
             await asyncio.gather(*restarts)
         assert spent <= 900
-        fleet.net.mend()
+        fleet.net.heal()
         await check_sums(fleet, spent)
         rest = await spend_all(fleet, "a1", "rest", 10)
         await check_sums(fleet, spent + rest)
@@ -178,7 +178,7 @@
             await spend(fleet, host, f"{host}-much", amount)
         for host in ("b2", "b3"):
             await fleet.host_by_name[host].kill()
-        fleet.net.mend()
+        fleet.net.heal()
         await fleet.clock.sleep(10.0)
         before = fleet.net.ledger_calls
         await fleet.clock.sleep(100.0)
@@ -208,7 +208,7 @@
                 assert await answer.ok_value.settle(amount, fleet.clock.now()) == Ok(None)
                 spent += amount
         assert spent > 350
-        fleet.net.mend()
+        fleet.net.heal()
         await check_sums(fleet, spent)
 
     on_fleet(scenario, disks=("b1",))
--- a/tests/budgets/test_partitions.py
+++ b/tests/budgets/test_partitions.py
@@ -52,7 +52,7 @@
         assert south > 3000
         assert north > 3000
         assert await refused(fleet, "b2", "late", 20) is ErrorKind.BUDGET_UNREACHABLE
-        fleet.net.mend()
+        fleet.net.heal()
         await fleet.clock.sleep(30.0)
         assert fleet.sums("main").charged == 200 + south + north
         assert fleet.sums("main").charged > 9_900
@@ -76,7 +76,7 @@
         fleet.credit("main", 500)
         await spend(fleet, "a2", "after", 100)
         assert await refused(fleet, "b2", "far", 100) is ErrorKind.BUDGET_UNREACHABLE
-        fleet.net.mend()
+        fleet.net.heal()
         await fleet.clock.sleep(10.0)
         await spend(fleet, "b2", "back", 100)
 
@@ -132,7 +132,7 @@
         await host.start()
         for number in range(10):
             assert await spend(fleet, "b1", f"after-{number}", 20) == Ok(None)
-        fleet.net.mend()
+        fleet.net.heal()
         await fleet.clock.sleep(60.0)
         sums = fleet.sums("main")
         assert (sums.charged, sums.in_doubt) == (200 + 400, 0)
@@ -164,7 +164,7 @@
         else:
             assert settled == Ok(None)
             assert await spend(fleet, "b1", "next", 20) == Ok(None)
-        fleet.net.mend()
+        fleet.net.heal()
         await fleet.clock.sleep(30.0)
         assert fleet.sums("main").charged == 200 + (20 if isolated == "refuse" else 40)
         assert await spend(fleet, "b1", "mended", 20) == Ok(None)
@@ -188,7 +188,7 @@
         await host.kill()
         await host.start()
         await fleet.clock.sleep(300.0)
-        fleet.net.mend()
+        fleet.net.heal()
         await fleet.clock.sleep(90.0)
         sums = fleet.sums("main")
         assert (sums.charged, sums.in_doubt) == (200 + 100, 0)
@@ -292,7 +292,7 @@
     for host in south:
         await host.kill()
     await fleet.clock.sleep(outage_s)
-    fleet.net.mend()
+    fleet.net.heal()
     fleet.host_by_name["b1"].knows_others = knows_others
     for host in south:
         await host.start()
@@ -386,7 +386,7 @@
         for name in ("b2", "b3"):
             await fleet.host_by_name[name].kill()
             await fleet.host_by_name[name].start()
-        fleet.net.mend()
+        fleet.net.heal()
         north = await spend_all(fleet, "a1", "north", 10)
         await fleet.clock.sleep(5.0)
         north += await spend_all(fleet, "a1", "north-2", 10)
@@ -527,7 +527,7 @@
                 answer.ok_value.release(fleet.clock.now())
             await fleet.clock.sleep(0.1)
         fleet.net.delay_s = 0.02
-        fleet.net.mend()
+        fleet.net.heal()
         await fleet.clock.sleep(1.5)
         for one in fleet.host_by_name.values():
             group = one.allotments.state()["groups"]["ledger-0"]
--- a/tests/configuration/test_spread.py
+++ b/tests/configuration/test_spread.py
@@ -61,7 +61,7 @@
         await fleet.commit(place_edit("moving", f"region-{number}"))
     assert fleet.entries[3].configuration.revision == 1
     for other in everyone:
-        fleet.fabric.mend(ip(3), other)
+        fleet.fabric.heal(ip(3), other)
     await fleet.until_everywhere(301, limit=10.0)
     assert fleet.entries[3].revisions == sorted(set(fleet.entries[3].revisions))
     await fleet.stop()
@@ -161,13 +161,13 @@
     entry.revisions.clear()
     for other in CONTROL_IPS + [ip(number) for number in range(2, 7)]:
         fleet.fabric.cut(ip(0), other)
-    fleet.fabric.mend(ip(0), stale)
+    fleet.fabric.heal(ip(0), stale)
     known = [host.me for host in fleet.entries]
     joined = await entry.start(known)
     await fleet.clock.sleep(5.0)
     assert not joined.done(), "it serves by the stale peer's revision alone"
     for other in CONTROL_IPS + [ip(number) for number in range(2, 7)]:
-        fleet.fabric.mend(ip(0), other)
+        fleet.fabric.heal(ip(0), other)
     assert await joined == 5
     await fleet.stop()
 
--- a/tests/fakes/money.py
+++ b/tests/fakes/money.py
@@ -78,7 +78,7 @@
         """Put nodes on sides; those not named are on side 0."""
         self.side_by_node = dict(side_by_node)
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         """End every cut."""
         self.side_by_node = {}
 
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -110,7 +110,7 @@
         self.cut_one_way(first, second)
         self.cut_one_way(second, first)
 
-    def mend(self, first: str, second: str) -> None:
+    def heal(self, first: str, second: str) -> None:
         """End a cut in both directions; what was held arrives."""
         for source, sink in ((first, second), (second, first)):
             self.set_rule(source, sink, self.rule(source, sink)._replace(is_cut=False))
--- a/tests/fakes/spread.py
+++ b/tests/fakes/spread.py
@@ -8,7 +8,7 @@
 
 
 class MemorySpread:
-    """Hold one host's items; ``join`` ties hosts together, ``cut`` and ``mend`` its ties."""
+    """Hold one host's items; ``join`` ties hosts together, ``cut`` and ``heal`` its ties."""
 
     def __init__(self) -> None:
         self.item_by_key: dict[tuple[str, str], Item] = {}
@@ -46,7 +46,7 @@
             if not (self.is_cut or peer.is_cut):
                 peer.take(item)
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         """End a cut: both sides tell each other what they have."""
         self.is_cut = False
         for peer in self._peers:
--- a/tests/fakes/test_fakes.py
+++ b/tests/fakes/test_fakes.py
@@ -43,7 +43,7 @@
         arriving = asyncio.ensure_future(far_reader.readexactly(5))
         await asyncio.sleep(100)
         assert not arriving.done()
-        fabric.mend(ONE, TWO)
+        fabric.heal(ONE, TWO)
         assert await arriving == b"there"
 
     in_fabric(test)
--- a/tests/hosts/fleet.py
+++ b/tests/hosts/fleet.py
@@ -112,7 +112,7 @@
         others = list(others)
         for one in some:
             for other in others:
-                self.fabric.mend(one.ip, other.ip)
+                self.fabric.heal(one.ip, other.ip)
 
     def of_place(self, place: str) -> list[Host]:
         return [host for host in self.host_by_name.values() if host.place == place]
--- a/tests/links/test_failures.py
+++ b/tests/links/test_failures.py
@@ -91,7 +91,7 @@
             await pair.clock.sleep(0.5)
         assert kinds == {ErrorKind.TIMEOUT, ErrorKind.UNREACHABLE}
         assert pair.caller_counters.dropped_by_reason[DropReason.SILENT_PEER] == 1
-        pair.fabric.mend(CALLER_IP, SERVER_IP)
+        pair.fabric.heal(CALLER_IP, SERVER_IP)
         await pair.clock.sleep(pair.limits.backoff_most + pair.limits.dial_timeout)
         assert await pair.work(Work("after")) == Ok(Done("after"))
 
--- a/tests/quarantine/test_quarantine.py
+++ b/tests/quarantine/test_quarantine.py
@@ -26,7 +26,7 @@
 
 
 def test_the_refusal_is_true_and_states_the_remedy() -> None:
-    """The caller is refused immediately, is told that nothing ran, and when to retry."""
+    """The caller is refused immediately; the refusal states that nothing ran and when to retry."""
 
     async def scenario(fleet: Fleet) -> None:
         [host] = fleet.hosts
@@ -176,7 +176,7 @@
         for _ in range(4):
             await fleet.end_under(first, "bad")
         assert not partitioned.refuses("bad")
-        partitioned.gossip.mend()
+        partitioned.gossip.heal()
         assert partitioned.refuses("bad")
         assert fleet.add().refuses("bad")
 
@@ -193,7 +193,7 @@
             await fleet.end_under(first, "bad")
             await fleet.end_under(partitioned, "bad")
         assert not first.refuses("bad")
-        partitioned.gossip.mend()
+        partitioned.gossip.heal()
         await fleet.clock.sleep(EVALUATION_S)
         assert all(host.refuses("bad") for host in fleet.hosts)
 
--- a/tests/rates/test_known.py
+++ b/tests/rates/test_known.py
@@ -89,7 +89,7 @@
     hosts[1].receive_answer(RateNotice(3.0), 0)
     hosts[2].receive_answer(RateNotice(5.0), 0)
     for host in hosts:
-        host.gossip.mend()
+        host.gossip.heal()
     assert [host.rate for host in hosts] == [3.0, 3.0, 3.0]
 
 
--- a/tests/replication/fleet.py
+++ b/tests/replication/fleet.py
@@ -196,11 +196,11 @@
             if other.name != name:
                 self.fabric.cut(self[name].ip, other.ip)
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         for one in self.by_name.values():
             for other in self.by_name.values():
                 if one is not other:
-                    self.fabric.mend(one.ip, other.ip)
+                    self.fabric.heal(one.ip, other.ip)
 
     async def until(self, holds: Callable[[], bool], seconds: float = 60.0) -> None:
         """Wait for a condition, in virtual time."""
--- a/tests/replication/test_disk_failures.py
+++ b/tests/replication/test_disk_failures.py
@@ -77,7 +77,7 @@
             assert isinstance(answer, Err)
             assert answer.err_value.kind is ErrorKind.STORAGE_FAILED
         assert "storage_failed" in leader.group.state()["failure"]
-        fleet.mend()
+        fleet.heal()
         await fleet.write("after")
         assert not leader.group.is_leader
         # The followers may have had the word before the write failed.
--- a/tests/replication/test_enlisting.py
+++ b/tests/replication/test_enlisting.py
@@ -77,7 +77,7 @@
         lost = await other_than_leader(fleet)
         fleet.cut_off(lost.name)
         await fleet.until(lambda: lost.name not in voters(fleet))
-        fleet.mend()
+        fleet.heal()
         await fleet.clock.sleep(5.0)
         assert not lost.group.has_leader_contact
         leader = await fleet.leader()
--- a/tests/replication/test_failures.py
+++ b/tests/replication/test_failures.py
@@ -46,7 +46,7 @@
             assert refused.err_value.kind is ErrorKind.NOT_CURRENT
         await fleet.write("meanwhile")
         term = (await fleet.leader()).group.state()["term"]
-        fleet.mend()
+        fleet.heal()
         await fleet.until(lambda: cut.machine.words == ["before", "meanwhile"])
         await fleet.clock.sleep(300.0)
         assert (await fleet.leader()).group.state()["term"] == term
@@ -150,7 +150,7 @@
         reading = asyncio.ensure_future(slept.group.query(b"", 5.0))
         await fleet.clock.sleep(0.5)
         assert not reading.done()
-        fleet.mend()
+        fleet.heal()
         slept.clock.run_on()
         assert isinstance(await reading, Err)
 
